--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use filbert_mesh::text_delta::TextDelta;
-use filbert_platform::operator::{read_config, ConfigDecoder};
+use filbert_platform::operator::{decode_config, ConfigDecoder};
 use filbert_policy::admission::{CallDemand, GateQueue, GateVerdict, LinkTime, WaitLimits};
 use filbert_policy::budget::{BudgetTerms, RepeatCause, RetryBudget};
 use filbert_policy::identity::{CallIdentity, IdentityParts};
@@ -86,11 +86,11 @@
     let texts: Vec<String> = (1..=2).map(|number| config_text(number, ROUTES)).collect();
     let text = |round: u32| texts[usize::from(round.is_multiple_of(2))].as_bytes();
     measure("a version of 2,400 routes read anew", |round| {
-        black_box(read_config(text(round)).expect("a version"));
+        black_box(decode_config(text(round)).expect("a version"));
     });
     let mut decoder = ConfigDecoder::default();
     measure("a version of 2,400 routes read after another", |round| {
-        black_box(decoder.read(text(round)).expect("a version"));
+        black_box(decoder.decode(text(round)).expect("a version"));
     });
     let delta = TextDelta::between(text(0), text(1));
     measure("its delta made", |_| {
--- a/crates/ctl/src/cmd/mesh.rs
+++ b/crates/ctl/src/cmd/mesh.rs
@@ -8,7 +8,7 @@
 
 use error_stack::{Report, ResultExt};
 use filbert_mesh::messages::PeerAddress;
-use filbert_platform::operator::read_config;
+use filbert_platform::operator::decode_config;
 use filbert_platform::store::{StoreClient, CONFIG_KEY, OPERATOR_TABLE};
 use filbert_policy::clock::SystemClock;
 
@@ -64,7 +64,7 @@
         .ok_or_else(|| {
             Report::new(CtlError::Platform).attach("the store holds no configuration")
         })?;
-    let version = read_config(&text).change_context(CtlError::Platform)?;
+    let version = decode_config(&text).change_context(CtlError::Platform)?;
     Ok((text, MeshTree::of(&version)))
 }
 
@@ -82,7 +82,7 @@
     let text = std::fs::read(older)
         .change_context(CtlError::BadInput)
         .attach(format!("file {}", older.display()))?;
-    let version = read_config(&text)
+    let version = decode_config(&text)
         .change_context(CtlError::BadInput)
         .attach(format!("file {}", older.display()))?;
     let older = MeshTree::of(&version);
--- a/crates/ctl/src/cmd/organisations.rs
+++ b/crates/ctl/src/cmd/organisations.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use error_stack::{Report, ResultExt};
-use filbert_platform::operator::read_config;
+use filbert_platform::operator::decode_config;
 use filbert_platform::store::StoreClient;
 use filbert_policy::organisations::keys::OrganisationRule;
 use serde::Serialize;
@@ -57,7 +57,7 @@
     output: ReadFormat,
 ) -> CtlResult<()> {
     let (text, _) = current(store).await?;
-    let version = read_config(&text).change_context(CtlError::Platform)?;
+    let version = decode_config(&text).change_context(CtlError::Platform)?;
     let mut calls = BTreeMap::new();
     let mut silent = Vec::new();
     for (host, metrics) in metrics_of(members(store).await?, metrics_port).await? {
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -77,21 +77,21 @@
 
 /// Decodes one body from a connection's buffer.
 #[derive(Clone, Debug)]
-pub struct BodyPieces {
+pub struct BodyDecoder {
     state: DecodeState,
 }
 
-impl BodyPieces {
+impl BodyDecoder {
     /// A decoder for a body framed so.
     #[must_use]
-    pub fn new(framing: BodyFraming) -> BodyPieces {
+    pub fn new(framing: BodyFraming) -> BodyDecoder {
         let state = match framing {
             BodyFraming::Empty | BodyFraming::Length(0) => DecodeState::Done,
             BodyFraming::Length(length) => DecodeState::Counted(length),
             BodyFraming::Chunked => DecodeState::ChunkSize,
             BodyFraming::UntilClose => DecodeState::UntilClose,
         };
-        BodyPieces { state }
+        BodyDecoder { state }
     }
 
     /// Whether the body has been read to its end.
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -10,6 +10,6 @@
 pub mod head;
 pub mod reader;
 
-pub use body::{BodyError, BodyFraming, BodyPieces};
+pub use body::{BodyDecoder, BodyError, BodyFraming};
 pub use head::{FieldList, HeadError, RequestHead, ResponseHead};
 pub use reader::{MessageReader, ReadError};
--- a/crates/http1/src/reader.rs
+++ b/crates/http1/src/reader.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-use crate::body::{BodyError, BodyPieces, BodyStep};
+use crate::body::{BodyDecoder, BodyError, BodyStep};
 use crate::head::head_length;
 
 /// Bytes asked of the stream at a time.
@@ -75,12 +75,12 @@
 
     /// Whether bytes were read that no message has used.
     #[must_use]
-    pub fn has_unused(&self) -> bool {
+    pub fn has_buffered_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
     /// Forgets what was read but not used.
-    pub fn discard(&mut self) {
+    pub fn discard_buffered(&mut self) {
         self.buffer.clear();
         self.searched = 0;
     }
@@ -143,7 +143,10 @@
     /// # Errors
     /// [`ReadError`] when the stream fails or ends too soon, or the framing is
     /// malformed.
-    pub async fn read_piece(&mut self, body: &mut BodyPieces) -> Result<Option<Bytes>, ReadError> {
+    pub async fn read_body_data(
+        &mut self,
+        body: &mut BodyDecoder,
+    ) -> Result<Option<Bytes>, ReadError> {
         loop {
             match body.step(&mut self.buffer)? {
                 BodyStep::Piece(piece) => return Ok(Some(piece)),
--- a/crates/http1/tests/message_cases.rs
+++ b/crates/http1/tests/message_cases.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use filbert_http1::{
-    BodyFraming, BodyPieces, HeadError, MessageReader, ReadError, RequestHead, ResponseHead,
+    BodyDecoder, BodyFraming, HeadError, MessageReader, ReadError, RequestHead, ResponseHead,
 };
 use proptest::prelude::*;
 use rstest::rstest;
@@ -70,9 +70,9 @@
 
 async fn read_all(stream: &[u8], framing: BodyFraming) -> Result<Vec<u8>, ReadError> {
     let mut reader = MessageReader::new(stream);
-    let mut decoder = BodyPieces::new(framing);
+    let mut decoder = BodyDecoder::new(framing);
     let mut body = Vec::new();
-    while let Some(piece) = reader.read_piece(&mut decoder).await? {
+    while let Some(piece) = reader.read_body_data(&mut decoder).await? {
         body.extend_from_slice(&piece);
     }
     Ok(body)
@@ -140,9 +140,9 @@
             };
             let read = async {
                 let mut reader = MessageReader::new(receive);
-                let mut decoder = BodyPieces::new(BodyFraming::Chunked);
+                let mut decoder = BodyDecoder::new(BodyFraming::Chunked);
                 let mut body = Vec::new();
-                while let Some(piece) = reader.read_piece(&mut decoder).await.expect("a piece") {
+                while let Some(piece) = reader.read_body_data(&mut decoder).await.expect("a piece") {
                     body.extend_from_slice(&piece);
                 }
                 (body, reader.read_head(1_000).await.expect("the next head"))
--- a/crates/mesh/src/calls/admit.rs
+++ b/crates/mesh/src/calls/admit.rs
@@ -30,7 +30,7 @@
     limit: Instant,
     story: &mut CallStory,
 ) -> Result<Option<TokenHold>, ClientAnswer> {
-    let key = headers::read_key(&call.head);
+    let key = headers::read_api_key(&call.head);
     let desk = &shared.organisations;
     let holder = match desk.holder(index, route, key) {
         CallHolder::Nobody => return Ok(None),
--- a/crates/mesh/src/calls/message.rs
+++ b/crates/mesh/src/calls/message.rs
@@ -37,7 +37,7 @@
     let own_priority = call.holder.as_ref().and_then(|holder| holder.priority);
     let call_priority = own_priority.unwrap_or(route.priority);
     let head = CallHead {
-        lines: headers::lines_for_target(&call.head, &settings.service, call.organisation()),
+        lines: headers::target_header_lines(&call.head, &settings.service, call.organisation()),
         id: call.headers.id,
         identity: call.identity,
         service: service.to_owned(),
--- a/crates/mesh/src/control.rs
+++ b/crates/mesh/src/control.rs
@@ -34,7 +34,7 @@
 }
 
 fn take_call(shared: &Rc<MeshShared>, head: &RequestHead, body: &[u8]) -> u16 {
-    match instances::read_call(&head.method, &head.target, body) {
+    match instances::decode_call(&head.method, &head.target, body) {
         InstanceCall::Report(report) => {
             if !is_known_service(shared, &report.service) {
                 log::warn!(
--- a/crates/mesh/src/feeds.rs
+++ b/crates/mesh/src/feeds.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use error_stack::Report;
-use filbert_platform::store::{FeedAnswer, StoreError, StoreMoment, OPERATOR_TABLE};
+use filbert_platform::store::{SnapshotTime, StoreError, WatchResponse, OPERATOR_TABLE};
 use filbert_policy::store_asking::{
     first_look_after, first_version, pause_after, FirstVersion, VersionlessView,
 };
@@ -335,10 +335,10 @@
     );
     let Some(position) = state.position else {
         let batch = shared.store.read_table(subject.table()).await?;
-        let (version, moment) = (batch.version, batch.moment);
+        let (version, snapshot_time) = (batch.version, batch.snapshot_time);
         state.notes_era(shared);
         take_table(shared, subject, batch);
-        confirm(shared, subject, moment);
+        confirm(shared, subject, snapshot_time);
         return Ok((Some(version), true));
     };
     let watch = shared
@@ -359,11 +359,11 @@
         return Ok((None, false));
     }
     match answer {
-        FeedAnswer::HistoryGone => {
+        WatchResponse::HistoryGone => {
             log::info!("event=store_history_gone subject={subject:?} position={position}");
             Ok((None, false))
         }
-        FeedAnswer::Changes(batch) => {
+        WatchResponse::Changes(batch) => {
             let version = batch.version.max(position);
             let has_changed = !batch.rows.is_empty();
             for row in batch.rows {
@@ -372,15 +372,15 @@
                     FeedSubject::Membership => take_member(shared, &row),
                 }
             }
-            confirm(shared, subject, batch.moment);
+            confirm(shared, subject, batch.snapshot_time);
             Ok((Some(version), has_changed))
         }
     }
 }
 
-/// Takes note that the version in force was the store's newest at `moment`.
-fn confirm(shared: &MeshShared, subject: FeedSubject, moment: Option<StoreMoment>) {
-    if let (FeedSubject::Configuration, Some(moment)) = (subject, moment) {
-        shared.version_was_confirmed(moment);
+/// Takes note that the version in force was the store's newest at `snapshot_time`.
+fn confirm(shared: &MeshShared, subject: FeedSubject, snapshot_time: Option<SnapshotTime>) {
+    if let (FeedSubject::Configuration, Some(snapshot_time)) = (subject, snapshot_time) {
+        shared.version_was_confirmed(snapshot_time);
     }
 }
--- a/crates/mesh/src/ingress/bodies.rs
+++ b/crates/mesh/src/ingress/bodies.rs
@@ -2,7 +2,7 @@
 //! come.
 
 use bytes::Bytes;
-use filbert_http1::{BodyFraming, BodyPieces, MessageReader, ReadError, RequestHead};
+use filbert_http1::{BodyDecoder, BodyFraming, MessageReader, ReadError, RequestHead};
 use filbert_platform::headers;
 use filbert_policy::identity::{CallIdentity, IdentityParts};
 use tokio::net::tcp::OwnedReadHalf;
@@ -19,11 +19,11 @@
 
 async fn read_whole(
     reader: &mut MessageReader<OwnedReadHalf>,
-    decoder: &mut BodyPieces,
+    decoder: &mut BodyDecoder,
 ) -> Result<Bytes, ReadEnd> {
     let mut whole = Vec::new();
     loop {
-        match reader.read_piece(decoder).await {
+        match reader.read_body_data(decoder).await {
             Ok(Some(piece)) => whole.extend_from_slice(&piece),
             Ok(None) => return Ok(Bytes::from(whole)),
             Err(ReadError::Body(filbert_http1::BodyError::BadChunk)) => {
@@ -41,7 +41,7 @@
 /// is long. Of a long one, the way for the rest comes with it.
 pub(super) async fn read_body(
     reader: &mut MessageReader<OwnedReadHalf>,
-    decoder: &mut BodyPieces,
+    decoder: &mut BodyDecoder,
     framing: BodyFraming,
 ) -> Result<(CallBody, Option<BodyRest>), ReadEnd> {
     match framing {
@@ -69,7 +69,7 @@
         method: &head.method,
         host,
         target: &head.target,
-        caller: &headers::caller_values(head),
+        caller: &headers::caller_credentials(head),
         body_start,
         body_length,
     })
@@ -79,11 +79,11 @@
 /// is taken whole; of another, the start and the way for the rest are returned.
 async fn read_start(
     reader: &mut MessageReader<OwnedReadHalf>,
-    decoder: &mut BodyPieces,
+    decoder: &mut BodyDecoder,
 ) -> Result<(CallBody, Option<BodyRest>), ReadEnd> {
     let mut start = Vec::new();
     while (start.len() as u64) < WHOLE_BODY {
-        match reader.read_piece(decoder).await {
+        match reader.read_body_data(decoder).await {
             Ok(Some(piece)) => start.extend_from_slice(&piece),
             Ok(None) => return Ok((CallBody::Whole(Bytes::from(start)), None)),
             Err(ReadError::Body(filbert_http1::BodyError::BadChunk)) => {
@@ -101,7 +101,7 @@
 /// closes without one marks a body that was broken off.
 pub(super) async fn pump_body(
     reader: &mut MessageReader<OwnedReadHalf>,
-    decoder: &mut BodyPieces,
+    decoder: &mut BodyDecoder,
     start: Bytes,
     pieces: &mpsc::Sender<Bytes>,
     most: u64,
@@ -111,7 +111,7 @@
     // read and dropped so that the next call is found.
     let mut is_wanted = pieces.send(start).await.is_ok();
     loop {
-        match reader.read_piece(decoder).await {
+        match reader.read_body_data(decoder).await {
             Ok(Some(piece)) => {
                 total += piece.len() as u64;
                 if total > most {
--- a/crates/mesh/src/ingress/mod.rs
+++ b/crates/mesh/src/ingress/mod.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use filbert_http1::{BodyPieces, HeadError, MessageReader, ReadError, RequestHead};
+use filbert_http1::{BodyDecoder, HeadError, MessageReader, ReadError, RequestHead};
 use filbert_platform::headers;
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -95,7 +95,7 @@
     if is_closed_by_us && writer.shutdown().await.is_ok() {
         let rest = async {
             while let Ok(true) = reader.fill().await {
-                reader.discard();
+                reader.discard_buffered();
             }
         };
         // Past the limit the client gets a reset at worst; its answer is out.
@@ -136,7 +136,7 @@
     state.added.notify_one();
     // Only to notice that the client leaves.
     while let Ok(true) = reader.fill().await {
-        reader.discard();
+        reader.discard_buffered();
     }
 }
 
@@ -193,7 +193,7 @@
     let is_http11 = head.is_http11;
     let framing = head.framing;
     let id = call_headers.id.clone();
-    let mut decoder = BodyPieces::new(framing);
+    let mut decoder = BodyDecoder::new(framing);
     let (body, rest) = read_body(reader, &mut decoder, framing).await?;
     let identity = identity_of(&head, &call_headers.host, &body, rest.as_ref());
     let call = ClientCall {
@@ -219,7 +219,7 @@
     state: &ConnectionState,
     reader: &mut MessageReader<OwnedReadHalf>,
 ) -> Result<(), ReadEnd> {
-    while !reader.has_unused() {
+    while !reader.has_buffered_bytes() {
         let is_busy = !state.due.borrow().is_empty();
         if shared.stop.is_closing() && !is_busy {
             return Err(ReadEnd::Last(None));
@@ -291,7 +291,7 @@
             let text = format!(
                 "HTTP/1.1 {status} {}\r\n{}Content-Length: 0\r\n{connection}\r\n",
                 reason_phrase(status),
-                headers::own_answer_lines(&due.id, come_back)
+                headers::local_reply_header_lines(&due.id, come_back)
             );
             writer.write_all(text.as_bytes()).await
         }
--- a/crates/mesh/src/organisations/age.rs
+++ b/crates/mesh/src/organisations/age.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use filbert_platform::store::StoreMoment;
+use filbert_platform::store::SnapshotTime;
 use filbert_policy::organisations::freshness::Confirmation;
 
 use crate::messages::{micros, LinkMessage, VersionAge};
@@ -36,11 +36,11 @@
 
     /// Takes word of the store that the version in force is its newest, and tells
     /// those that follow this daemon.
-    pub fn version_was_confirmed(&self, moment: StoreMoment) {
+    pub fn version_was_confirmed(&self, snapshot_time: SnapshotTime) {
         if !self.keeps_age() {
             return;
         }
-        let StoreMoment { era, clock, asked } = moment;
+        let SnapshotTime { era, clock, asked } = snapshot_time;
         let version = self.versions.number();
         {
             let mut age = self.organisations.age.borrow_mut();
--- a/crates/mesh/src/ready.rs
+++ b/crates/mesh/src/ready.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use filbert_platform::READY_PATH;
+use filbert_platform::READINESS_PATH;
 use tokio::net::TcpListener;
 
 use crate::small_server::{accept_for_ever, serve_requests, SmallAnswer};
@@ -13,7 +13,7 @@
     accept_for_ever("ready", listener, |stream| {
         let shared = Rc::clone(&shared);
         serve_requests(stream, move |head, _| {
-            SmallAnswer::status(if head.target.starts_with(READY_PATH) {
+            SmallAnswer::status(if head.target.starts_with(READINESS_PATH) {
                 readiness(&shared)
             } else {
                 404
--- a/crates/mesh/src/rollouts/record.rs
+++ b/crates/mesh/src/rollouts/record.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use filbert_platform::rollouts::{self, RolloutState};
-use filbert_platform::store::{RowCondition, RowEdit, StoreRow, WriteEnd};
+use filbert_platform::store::{RowCondition, RowEdit, StoreRow, TransactionOutcome};
 use filbert_policy::rollout::note::{OrderId, RolloutNote, RolloutStage};
 use filbert_policy::store_asking::pause_after;
 use rand::Rng;
@@ -26,7 +26,7 @@
 impl MeshShared {
     /// Takes a row of the operator's table.
     pub fn take_rollout_order(&self, row: &StoreRow) {
-        let Some(order) = rollouts::read_order(row) else {
+        let Some(order) = rollouts::decode_order(row) else {
             return;
         };
         let id = OrderId {
@@ -143,7 +143,7 @@
         return false;
     }
     match end {
-        Ok(WriteEnd::Done { version }) => {
+        Ok(TransactionOutcome::Committed { version }) => {
             shared.metrics.store_call("rollout", "answered");
             log::info!(
                 "event=rollout_written service={service} to={} stage={:?} version={version} {}",
@@ -154,7 +154,7 @@
             shared.rollouts.take_row(&stored, version, elapsed);
             true
         }
-        Ok(WriteEnd::Changed(rows)) => {
+        Ok(TransactionOutcome::Conflict(rows)) => {
             shared.metrics.store_call("rollout", "changed");
             log::info!(
                 "event=rollout_row_changed service={service} expected={} found={:?}",
--- a/crates/mesh/src/rows.rs
+++ b/crates/mesh/src/rows.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use filbert_platform::store::{RowEdit, StoreRow, MOST_EDITS};
+use filbert_platform::store::{RowEdit, StoreRow, MAX_EDITS_PER_TRANSACTION};
 use filbert_policy::store_asking::pause_after;
 use rand::Rng;
 use tokio::sync::Notify;
@@ -129,7 +129,11 @@
     /// The next changes, as many as one call takes.
     fn take(&self) -> Vec<RowChange> {
         let mut wanted = self.wanted.borrow_mut();
-        let ids: Vec<String> = wanted.keys().take(MOST_EDITS).cloned().collect();
+        let ids: Vec<String> = wanted
+            .keys()
+            .take(MAX_EDITS_PER_TRANSACTION)
+            .cloned()
+            .collect();
         ids.iter().filter_map(|id| wanted.remove(id)).collect()
     }
 
--- a/crates/mesh/src/settings.rs
+++ b/crates/mesh/src/settings.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use error_stack::{Report, ResultExt};
-use filbert_platform::operator::parse_time;
+use filbert_platform::operator::parse_duration;
 use filbert_policy::budget::BudgetTerms;
 use filbert_policy::membership::DEFAULT_SERVICES;
 use filbert_policy::organisations::quota::QuotaTerms;
@@ -227,7 +227,7 @@
 
 fn time<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Duration, D::Error> {
     let text = String::deserialize(deserializer)?;
-    parse_time(&text).ok_or_else(|| {
+    parse_duration(&text).ok_or_else(|| {
         serde::de::Error::custom(format!("`{text}` is no time such as 1500ms or 2s"))
     })
 }
--- a/crates/mesh/src/small_server.rs
+++ b/crates/mesh/src/small_server.rs
@@ -4,7 +4,7 @@
 use std::future::Future;
 use std::time::Duration;
 
-use filbert_http1::{BodyPieces, MessageReader, RequestHead};
+use filbert_http1::{BodyDecoder, MessageReader, RequestHead};
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 
@@ -103,8 +103,8 @@
     while let Some(raw) = reader.read_head(MAX_HEAD).await.map_err(|_| ())? {
         let head = RequestHead::parse(&raw).map_err(|_| ())?;
         let mut body = Vec::new();
-        let mut decoder = BodyPieces::new(head.framing);
-        while let Some(piece) = reader.read_piece(&mut decoder).await.map_err(|_| ())? {
+        let mut decoder = BodyDecoder::new(head.framing);
+        while let Some(piece) = reader.read_body_data(&mut decoder).await.map_err(|_| ())? {
             body.extend_from_slice(&piece);
             if body.len() > MAX_BODY {
                 return Err(());
--- a/crates/mesh/src/target.rs
+++ b/crates/mesh/src/target.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use filbert_http1::{BodyFraming, BodyPieces, MessageReader, ResponseHead};
-use filbert_platform::headers::{self, AnswerSort, StatedLoad};
+use filbert_http1::{BodyDecoder, BodyFraming, MessageReader, ResponseHead};
+use filbert_platform::headers::{self, ResponseKind, StatedLoad};
 use filbert_policy::clock::Clock;
 use socket2::SockRef;
 use tokio::io::AsyncWriteExt;
@@ -50,7 +50,7 @@
     /// Guards against an answer nobody asked for being taken for the next
     /// call's, and against sending on a connection that the target has closed.
     fn is_clean(&mut self) -> bool {
-        if self.reader.has_unused() {
+        if self.reader.has_buffered_bytes() {
             return false;
         }
         let half: &OwnedReadHalf = self.reader.stream();
@@ -195,7 +195,7 @@
         if let Some(keep) = headers::read_keep_alive(&head.fields) {
             connection.keep = keep.saturating_sub(KEEP_MARGIN);
         }
-        let decoder = BodyPieces::new(head.framing);
+        let decoder = BodyDecoder::new(head.framing);
         let run = Box::new(RunBody {
             // An answer that came before the body was sent leaves the
             // connection in the middle of that body.
@@ -207,14 +207,14 @@
             permit: Some(terms.permit),
             is_failure: head.status >= FIRST_FAILURE,
         });
-        match headers::sort_answer(&head, &call.id) {
-            AnswerSort::Own => ExchangeEnd::Answer(head, run),
-            AnswerSort::NotRun => {
+        match headers::classify_response(&head, &call.id) {
+            ResponseKind::Valid => ExchangeEnd::Answer(head, run),
+            ResponseKind::NotRun => {
                 let load = headers::read_load(&head.fields);
                 run.drain_in_background();
                 ExchangeEnd::Rejected(load)
             }
-            AnswerSort::Spoiled | AnswerSort::Foreign => ExchangeEnd::Lost("spoiled"),
+            ResponseKind::Invalid | ResponseKind::Mismatched => ExchangeEnd::Lost("spoiled"),
         }
     }
 }
@@ -226,7 +226,7 @@
     bytes.extend_from_slice(call.target.as_bytes());
     bytes.extend_from_slice(b" HTTP/1.1\r\n");
     bytes.extend_from_slice(&call.lines);
-    bytes.extend_from_slice(headers::attempt_lines(terms.left, terms.instance).as_bytes());
+    bytes.extend_from_slice(headers::attempt_header_lines(terms.left, terms.instance).as_bytes());
     match (call.has_body, call.body_length, body) {
         (false, _, _) => {}
         (true, Some(length), _) => {
@@ -299,15 +299,15 @@
         if (100..200).contains(&head.status) {
             continue;
         }
-        if headers::sort_answer(&head, &call.id) != AnswerSort::Foreign {
+        if headers::classify_response(&head, &call.id) != ResponseKind::Mismatched {
             return Ok(head);
         }
         if head.framing == BodyFraming::UntilClose {
             return Err(ExchangeEnd::BrokenOff("closed with another call's answer"));
         }
-        let mut decoder = BodyPieces::new(head.framing);
+        let mut decoder = BodyDecoder::new(head.framing);
         while reader
-            .read_piece(&mut decoder)
+            .read_body_data(&mut decoder)
             .await
             .map_err(|_| ExchangeEnd::BrokenOff("broken off inside another call's answer"))?
             .is_some()
@@ -319,7 +319,7 @@
 /// end closes the connection, which makes the target drop the run.
 pub struct RunBody {
     connection: Option<TargetConnection>,
-    decoder: BodyPieces,
+    decoder: BodyDecoder,
     reusable: bool,
     home: Rc<TargetConnections>,
     clock: Rc<dyn Clock>,
@@ -346,7 +346,7 @@
         let Some(connection) = &mut self.connection else {
             return Ok(None);
         };
-        match connection.reader.read_piece(&mut self.decoder).await {
+        match connection.reader.read_body_data(&mut self.decoder).await {
             Ok(Some(piece)) => Ok(Some(piece)),
             Ok(None) => {
                 self.finish();
--- a/crates/mesh/src/versions.rs
+++ b/crates/mesh/src/versions.rs
@@ -37,7 +37,7 @@
 /// 0.9 s on a link of 7.5 Mbit/s would follow each other in the two seconds
 /// that a version has.
 pub async fn keep_warned(shared: Rc<MeshShared>) {
-    let mut begun = shared.store.begun_answers();
+    let mut begun = shared.store.response_lengths();
     while begun.changed().await.is_ok() {
         let length = usize::try_from(*begun.borrow_and_update()).unwrap_or(usize::MAX);
         let text = shared.versions.text().len();
@@ -148,7 +148,7 @@
     /// peer, in any order, and only a higher number is taken. A version that
     /// cannot be decoded whole is not used at all.
     pub fn offer_version(&self, text: &Bytes, from: &str) {
-        let version = match self.versions.decoder.borrow_mut().read(text) {
+        let version = match self.versions.decoder.borrow_mut().decode(text) {
             Ok(version) => version,
             Err(error) => {
                 log::error!("event=version_refused from={from} error=\"{error}\"");
--- a/src/bin/filbertd.rs
+++ b/src/bin/filbertd.rs
@@ -37,7 +37,7 @@
     /// Run on the users' platform.
     Mesh {
         /// The daemon's settings file (TOML).
-        #[arg(long, env = filbert_platform::SETTINGS_VARIABLE)]
+        #[arg(long, env = filbert_platform::SETTINGS_PATH_VARIABLE)]
         settings: PathBuf,
         /// Check the settings file and end.
         #[arg(long)]
