--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,24 +1,24 @@
-//! Bodies, decoded piece by piece from a buffer.
+//! Message body framing and an incremental body decoder.
 
 use std::fmt;
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// How a body is delimited.
+/// How the end of a message body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// There is none.
+    /// The message has no body.
     Empty,
-    /// Exactly so many bytes.
+    /// The body has exactly this many bytes.
     Length(u64),
-    /// Chunks, the last of them empty.
+    /// The body uses the chunked transfer coding.
     Chunked,
-    /// All until the connection ends (answers only).
+    /// The body ends when the connection closes (responses only).
     UntilClose,
 }
 
 impl BodyFraming {
-    /// The body's length in bytes where the head tells it.
+    /// The body's length in bytes; `None` if the head does not state it.
     #[must_use]
     pub fn length(self) -> Option<u64> {
         match self {
@@ -29,44 +29,45 @@
     }
 }
 
-/// Why a body cannot be read on.
+/// Why decoding a body failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// A chunk's size or end is malformed.
+    /// A chunk-size line, the end of a chunk or a trailer line is malformed or
+    /// too long.
     BadChunk,
-    /// The connection ended before the body did.
+    /// The connection closed before the end of the body.
     Truncated,
 }
 
 impl fmt::Display for BodyError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            BodyError::BadChunk => "malformed chunk",
-            BodyError::Truncated => "body cut short",
+            BodyError::BadChunk => "malformed chunked body",
+            BodyError::Truncated => "connection closed before the end of the body",
         })
     }
 }
 
 impl std::error::Error for BodyError {}
 
-/// What a decoding step found.
+/// Result of one call of [`BodyDecoder::decode`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum BodyStep {
-    /// Some bytes of the body.
-    Piece(Bytes),
-    /// More bytes must be read first.
+pub enum DecodeOutcome {
+    /// The next bytes of the body.
+    Data(Bytes),
+    /// The buffer holds too few bytes; read more from the stream first.
     NeedMore,
-    /// The body is whole.
+    /// The body is complete.
     Done,
 }
 
-/// Longest line that states a chunk's size or a trailer, in bytes: far above
-/// what peers send, far below what would hold memory.
-const MAX_LINE: usize = 4096;
+/// Maximum length in bytes of a chunk-size line or a trailer line. Real peers
+/// send far shorter lines; the limit bounds the memory that a connection holds.
+const MAX_CHUNK_LINE_BYTES: usize = 4096;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DecodeState {
-    Counted(u64),
+    FixedLength(u64),
     ChunkSize,
     ChunkData(u64),
     ChunkEnd,
@@ -75,36 +76,37 @@
     Done,
 }
 
-/// Decodes one body from a connection's buffer.
+/// Incremental decoder of one body. It takes its input from the connection's
+/// read buffer and leaves the bytes after the body in place.
 #[derive(Clone, Debug)]
 pub struct BodyDecoder {
     state: DecodeState,
 }
 
 impl BodyDecoder {
-    /// A decoder for a body framed so.
+    /// Creates a decoder for a body with the given `framing`.
     #[must_use]
     pub fn new(framing: BodyFraming) -> BodyDecoder {
         let state = match framing {
             BodyFraming::Empty | BodyFraming::Length(0) => DecodeState::Done,
-            BodyFraming::Length(length) => DecodeState::Counted(length),
+            BodyFraming::Length(length) => DecodeState::FixedLength(length),
             BodyFraming::Chunked => DecodeState::ChunkSize,
             BodyFraming::UntilClose => DecodeState::UntilClose,
         };
         BodyDecoder { state }
     }
 
-    /// Whether the body has been read to its end.
+    /// Whether the whole body has been decoded.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.state == DecodeState::Done
     }
 
-    /// What the end of the connection means here: the end of the body where
-    /// it is delimited so, a cut otherwise.
+    /// Tells the decoder that the connection has closed. This ends a body that
+    /// is delimited by the close of the connection.
     ///
     /// # Errors
-    /// [`BodyError::Truncated`] when the body was not whole.
+    /// [`BodyError::Truncated`] if the body is incomplete.
     pub fn end_of_stream(&mut self) -> Result<(), BodyError> {
         match self.state {
             DecodeState::UntilClose | DecodeState::Done => {
@@ -115,27 +117,32 @@
         }
     }
 
-    /// Takes the next piece out of `buffer`.
+    /// Removes the next bytes of the body from `buffer` and returns them.
     ///
     /// # Errors
-    /// [`BodyError::BadChunk`] when the chunk framing is malformed.
-    pub fn step(&mut self, buffer: &mut BytesMut) -> Result<BodyStep, BodyError> {
+    /// [`BodyError::BadChunk`] if the chunked coding is malformed.
+    pub fn decode(&mut self, buffer: &mut BytesMut) -> Result<DecodeOutcome, BodyError> {
         loop {
             match self.state {
-                DecodeState::Done => return Ok(BodyStep::Done),
-                DecodeState::Counted(left) => {
-                    return Ok(self.take(buffer, left, DecodeState::Counted, DecodeState::Done))
+                DecodeState::Done => return Ok(DecodeOutcome::Done),
+                DecodeState::FixedLength(remaining) => {
+                    return Ok(self.take_data(
+                        buffer,
+                        remaining,
+                        DecodeState::FixedLength,
+                        DecodeState::Done,
+                    ))
                 }
-                DecodeState::ChunkData(left) => {
-                    return Ok(self.take(
+                DecodeState::ChunkData(remaining) => {
+                    return Ok(self.take_data(
                         buffer,
-                        left,
+                        remaining,
                         DecodeState::ChunkData,
                         DecodeState::ChunkEnd,
                     ))
                 }
-                DecodeState::UntilClose if buffer.is_empty() => return Ok(BodyStep::NeedMore),
-                DecodeState::UntilClose => return Ok(BodyStep::Piece(buffer.split().freeze())),
+                DecodeState::UntilClose if buffer.is_empty() => return Ok(DecodeOutcome::NeedMore),
+                DecodeState::UntilClose => return Ok(DecodeOutcome::Data(buffer.split().freeze())),
                 DecodeState::ChunkSize => match httparse::parse_chunk_size(buffer) {
                     Ok(httparse::Status::Complete((used, size))) => {
                         buffer.advance(used);
@@ -144,14 +151,14 @@
                             size => DecodeState::ChunkData(size),
                         };
                     }
-                    Ok(httparse::Status::Partial) if buffer.len() <= MAX_LINE => {
-                        return Ok(BodyStep::NeedMore)
+                    Ok(httparse::Status::Partial) if buffer.len() <= MAX_CHUNK_LINE_BYTES => {
+                        return Ok(DecodeOutcome::NeedMore)
                     }
                     _ => return Err(BodyError::BadChunk),
                 },
                 DecodeState::ChunkEnd => {
                     if buffer.len() < 2 {
-                        return Ok(BodyStep::NeedMore);
+                        return Ok(DecodeOutcome::NeedMore);
                     }
                     if &buffer[..2] != b"\r\n" {
                         return Err(BodyError::BadChunk);
@@ -161,10 +168,10 @@
                 }
                 DecodeState::Trailers => {
                     let Some(end) = buffer.windows(2).position(|pair| pair == b"\r\n") else {
-                        if buffer.len() > MAX_LINE {
+                        if buffer.len() > MAX_CHUNK_LINE_BYTES {
                             return Err(BodyError::BadChunk);
                         }
-                        return Ok(BodyStep::NeedMore);
+                        return Ok(DecodeOutcome::NeedMore);
                     };
                     buffer.advance(end + 2);
                     if end == 0 {
@@ -175,22 +182,29 @@
         }
     }
 
-    fn take(
+    /// Takes at most `remaining` bytes out of `buffer`. The next state is
+    /// `next_state` once all of them are taken, otherwise `incomplete_state` of
+    /// the bytes that remain.
+    fn take_data(
         &mut self,
         buffer: &mut BytesMut,
-        left: u64,
-        partly: fn(u64) -> DecodeState,
-        after: DecodeState,
-    ) -> BodyStep {
+        remaining: u64,
+        incomplete_state: fn(u64) -> DecodeState,
+        next_state: DecodeState,
+    ) -> DecodeOutcome {
         if buffer.is_empty() {
-            return BodyStep::NeedMore;
+            return DecodeOutcome::NeedMore;
         }
-        let available = usize::try_from(left)
+        let available = usize::try_from(remaining)
             .unwrap_or(usize::MAX)
             .min(buffer.len());
-        let piece = buffer.split_to(available).freeze();
-        let rest = left - available as u64;
-        self.state = if rest == 0 { after } else { partly(rest) };
-        BodyStep::Piece(piece)
+        let data = buffer.split_to(available).freeze();
+        let remaining = remaining - available as u64;
+        self.state = if remaining == 0 {
+            next_state
+        } else {
+            incomplete_state(remaining)
+        };
+        DecodeOutcome::Data(data)
     }
 }
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -1,4 +1,4 @@
-//! Heads of requests and answers.
+//! Heads of requests and responses: start line and header fields.
 
 use std::fmt;
 use std::ops::Range;
@@ -7,11 +7,12 @@
 
 use crate::body::BodyFraming;
 
-/// Most header fields of one head; more is refused as malformed.
-const MAX_FIELDS: usize = 100;
+/// Maximum number of header fields in one head. A head with more is rejected as
+/// malformed.
+const MAX_FIELD_COUNT: usize = 100;
 
-/// Fields that concern one connection only and are never passed on.
-const CONNECTION_FIELDS: [&str; 9] = [
+/// Hop-by-hop fields: they apply to one connection and are never forwarded.
+const HOP_BY_HOP_FIELDS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -23,20 +24,22 @@
     "upgrade",
 ];
 
-/// Why bytes are not a usable head.
+/// Why a head was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeadError {
-    /// Not HTTP/1.x at all.
+    /// The bytes are not a valid HTTP/1.x head.
     Malformed,
-    /// Two statements of the body's length that could be read in two ways.
-    /// Guards against requests smuggled inside another one's body.
+    /// The length of the body is ambiguous: `Content-Length` fields contradict
+    /// each other or appear together with a transfer coding, or the transfer
+    /// coding is repeated, not plain chunked, or sent in an HTTP/1.0 request.
+    /// Rejecting such a head prevents request smuggling.
     AmbiguousLength,
 }
 
 impl fmt::Display for HeadError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
-            HeadError::Malformed => "malformed head",
+            HeadError::Malformed => "malformed message head",
             HeadError::AmbiguousLength => "ambiguous body length",
         })
     }
@@ -44,13 +47,14 @@
 
 impl std::error::Error for HeadError {}
 
+/// Byte ranges of one field's name and value in the raw head.
 #[derive(Clone, Debug)]
 struct FieldSpan {
     name: Range<usize>,
     value: Range<usize>,
 }
 
-/// A head's fields, kept as spans of the bytes they were read from.
+/// The header fields of a head, stored as byte ranges of the raw head.
 #[derive(Clone, Debug, Default)]
 pub struct FieldList {
     raw: Bytes,
@@ -61,7 +65,7 @@
     fn from_parsed(raw: &Bytes, parsed: &[httparse::Header<'_>]) -> FieldList {
         let base = raw.as_ptr() as usize;
         let span_of = |part: &[u8]| {
-            // An empty value may point outside the head.
+            // The slice of an empty value may point outside the head.
             let start = (part.as_ptr() as usize).saturating_sub(base);
             if part.is_empty() {
                 0..0
@@ -82,7 +86,7 @@
         }
     }
 
-    /// Every field as name and value, in order.
+    /// Iterates over all fields as pairs of name and value, in the order received.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.spans.iter().map(|span| {
             let name = std::str::from_utf8(&self.raw[span.name.clone()]).unwrap_or_default();
@@ -90,7 +94,8 @@
         })
     }
 
-    /// The first value of `name` (any case), when it is text.
+    /// The trimmed value of the first field called `name`, which is matched without
+    /// regard to case. `None` if there is no such field or its value is not UTF-8.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&str> {
         self.iter()
@@ -99,7 +104,8 @@
             .map(str::trim)
     }
 
-    /// Whether the comma-separated field `name` holds `token` (any case).
+    /// Whether the comma-separated list in the field `name` contains `token`. Both
+    /// are matched without regard to case.
     #[must_use]
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.iter()
@@ -109,15 +115,16 @@
             .any(|part| part.trim().eq_ignore_ascii_case(token))
     }
 
-    /// Writes the end-to-end fields, but for those `skip` names, as header lines.
+    /// Appends the end-to-end fields to `out` as header lines, without
+    /// `Content-Length` and without the fields for whose name `skip` returns true.
     pub fn write_end_to_end(&self, out: &mut Vec<u8>, skip: impl Fn(&str) -> bool) {
         for (name, value) in self.iter() {
-            let of_connection = CONNECTION_FIELDS
+            let is_hop_by_hop = HOP_BY_HOP_FIELDS
                 .iter()
                 .any(|field| field.eq_ignore_ascii_case(name))
                 || name.eq_ignore_ascii_case("content-length")
                 || self.has_token("connection", name);
-            if !of_connection && !skip(name) {
+            if !is_hop_by_hop && !skip(name) {
                 out.extend_from_slice(name.as_bytes());
                 out.extend_from_slice(b": ");
                 out.extend_from_slice(value);
@@ -126,7 +133,9 @@
         }
     }
 
-    fn stated_length(&self) -> Result<Option<u64>, HeadError> {
+    /// The value of `Content-Length`; `None` if the field is absent. Repeated fields
+    /// have to agree.
+    fn content_length(&self) -> Result<Option<u64>, HeadError> {
         let mut stated = None;
         for (name, value) in self.iter() {
             if !name.eq_ignore_ascii_case("content-length") {
@@ -146,7 +155,8 @@
         Ok(stated)
     }
 
-    /// Whether the body is chunked; any other transfer coding is refused.
+    /// Whether the body uses the chunked transfer coding. Any other coding is an
+    /// error.
     fn is_chunked(&self) -> Result<bool, HeadError> {
         let mut codings = self
             .iter()
@@ -159,42 +169,44 @@
     }
 }
 
-/// A request's head.
+/// The parsed head of a request.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
-    /// The method as sent.
+    /// The method as received.
     pub method: String,
-    /// The request target as sent, path and query.
+    /// The request target as received: path and query.
     pub target: String,
-    /// Whether the connection stays open after the answer.
+    /// Whether the connection stays open after the response.
     pub keep_alive: bool,
-    /// Whether the client speaks HTTP/1.1 (and so understands chunks).
+    /// Whether the client speaks HTTP/1.1 and therefore accepts chunked responses.
     pub is_http11: bool,
-    /// How the body is delimited.
+    /// How the end of the body is determined.
     pub framing: BodyFraming,
-    /// Every field as sent.
+    /// All header fields as received.
     pub fields: FieldList,
 }
 
-/// An answer's head.
+/// The parsed head of a response.
 #[derive(Clone, Debug)]
 pub struct ResponseHead {
     /// The status code.
     pub status: u16,
-    /// The reason phrase as sent.
+    /// The reason phrase as received.
     pub reason: String,
-    /// Whether the connection stays open after the body.
+    /// Whether the connection stays open after the response body.
     pub keep_alive: bool,
-    /// How the body is delimited.
+    /// How the end of the body is determined.
     pub framing: BodyFraming,
-    /// Every field as sent.
+    /// All header fields as received.
     pub fields: FieldList,
 }
 
-/// Length in bytes of the head that `buffer` starts with, if it is whole.
+/// The length in bytes, with the final empty line, of the head at the start of
+/// `buffer`; `None` if the head is incomplete. The first `scanned` bytes have been
+/// searched by an earlier call and are skipped.
 #[must_use]
-pub fn head_length(buffer: &[u8], searched: usize) -> Option<usize> {
-    let from = searched.saturating_sub(3);
+pub fn head_length(buffer: &[u8], scanned: usize) -> Option<usize> {
+    let from = scanned.saturating_sub(3);
     buffer[from..]
         .windows(4)
         .position(|window| window == b"\r\n\r\n")
@@ -202,12 +214,13 @@
 }
 
 impl RequestHead {
-    /// Parses a whole head.
+    /// Parses a complete request head.
     ///
     /// # Errors
-    /// [`HeadError`] when it is no HTTP/1.x request or its length is ambiguous.
+    /// [`HeadError`] if `raw` is not an HTTP/1.x request head or the length of the
+    /// body is ambiguous.
     pub fn parse(raw: &Bytes) -> Result<RequestHead, HeadError> {
-        let mut storage = [httparse::EMPTY_HEADER; MAX_FIELDS];
+        let mut storage = [httparse::EMPTY_HEADER; MAX_FIELD_COUNT];
         let mut parsed = httparse::Request::new(&mut storage);
         match parsed.parse(raw) {
             Ok(httparse::Status::Complete(_)) => {}
@@ -216,7 +229,7 @@
         let fields = FieldList::from_parsed(raw, parsed.headers);
         let is_http11 = parsed.version == Some(1);
         let chunked = fields.is_chunked()?;
-        let length = fields.stated_length()?;
+        let length = fields.content_length()?;
         let framing = match (chunked, length) {
             (true, Some(_)) => return Err(HeadError::AmbiguousLength),
             (true, None) if !is_http11 => return Err(HeadError::AmbiguousLength),
@@ -227,7 +240,7 @@
         Ok(RequestHead {
             method: parsed.method.unwrap_or_default().to_owned(),
             target: parsed.path.unwrap_or_default().to_owned(),
-            keep_alive: keeps_alive(is_http11, &fields),
+            keep_alive: is_persistent(is_http11, &fields),
             is_http11,
             framing,
             fields,
@@ -236,12 +249,14 @@
 }
 
 impl ResponseHead {
-    /// Parses a whole head; `to_head` says that the request was a HEAD.
+    /// Parses a complete response head. `request_was_head` states whether it
+    /// responds to a `HEAD` request, in which case it has no body.
     ///
     /// # Errors
-    /// [`HeadError`] when it is no HTTP/1.x answer or its length is ambiguous.
-    pub fn parse(raw: &Bytes, to_head: bool) -> Result<ResponseHead, HeadError> {
-        let mut storage = [httparse::EMPTY_HEADER; MAX_FIELDS];
+    /// [`HeadError`] if `raw` is not an HTTP/1.x response head or the length of the
+    /// body is ambiguous.
+    pub fn parse(raw: &Bytes, request_was_head: bool) -> Result<ResponseHead, HeadError> {
+        let mut storage = [httparse::EMPTY_HEADER; MAX_FIELD_COUNT];
         let mut parsed = httparse::Response::new(&mut storage);
         match parsed.parse(raw) {
             Ok(httparse::Status::Complete(_)) => {}
@@ -250,10 +265,10 @@
         let fields = FieldList::from_parsed(raw, parsed.headers);
         let status = parsed.code.unwrap_or_default();
         let chunked = fields.is_chunked()?;
-        let length = fields.stated_length()?;
-        let bodiless = to_head || status < 200 || status == 204 || status == 304;
+        let length = fields.content_length()?;
+        let has_no_body = request_was_head || status < 200 || status == 204 || status == 304;
         let framing = match (chunked, length) {
-            _ if bodiless => BodyFraming::Empty,
+            _ if has_no_body => BodyFraming::Empty,
             (true, Some(_)) => return Err(HeadError::AmbiguousLength),
             (true, None) => BodyFraming::Chunked,
             (false, Some(0)) => BodyFraming::Empty,
@@ -263,7 +278,7 @@
         Ok(ResponseHead {
             status,
             reason: parsed.reason.unwrap_or_default().to_owned(),
-            keep_alive: keeps_alive(parsed.version == Some(1), &fields)
+            keep_alive: is_persistent(parsed.version == Some(1), &fields)
                 && framing != BodyFraming::UntilClose,
             framing,
             fields,
@@ -271,7 +286,9 @@
     }
 }
 
-fn keeps_alive(is_http11: bool, fields: &FieldList) -> bool {
+/// Whether the connection persists after the message, by the version's default and
+/// the `Connection` field.
+fn is_persistent(is_http11: bool, fields: &FieldList) -> bool {
     if is_http11 {
         !fields.has_token("connection", "close")
     } else {
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,10 +1,12 @@
-//! HTTP/1.1 messages as the call path needs them: heads parsed by `httparse`,
-//! bodies decoded piece by piece, nothing held whole.
+//! HTTP/1.1 messages over a byte stream. `httparse` parses the heads; bodies are
+//! decoded as a stream and never buffered whole.
 //!
-//! `hyper` hides three things that the call path decides on: which bytes of a
-//! connection were read (a request behind a closed answer counts as unread),
-//! several requests of one connection in work at once, and answers that
-//! belong to no request. This crate leaves all three to its caller.
+//! The request path has to decide three things that `hyper` does not expose:
+//! which bytes of a connection have been read (a request that arrives after a
+//! response that closes the connection counts as unread), how several
+//! pipelined requests of one connection are processed at once, and what happens
+//! to a response that matches no request. This crate leaves all three to its
+//! caller.
 
 pub mod body;
 pub mod head;
--- a/crates/http1/src/reader.rs
+++ b/crates/http1/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads messages from a byte stream through one buffer.
+//! Buffered reader of HTTP/1.1 messages.
 
 use std::fmt;
 use std::io;
@@ -6,22 +6,23 @@
 use bytes::{Bytes, BytesMut};
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-use crate::body::{BodyDecoder, BodyError, BodyStep};
+use crate::body::{BodyDecoder, BodyError, DecodeOutcome};
 use crate::head::head_length;
 
-/// Bytes asked of the stream at a time.
-const READ_SIZE: usize = 16 * 1024;
+/// Free space in bytes that the buffer has at least before each read of the
+/// stream.
+const MIN_READ_CAPACITY_BYTES: usize = 16 * 1024;
 
-/// Why a message cannot be read.
+/// Why reading a message failed.
 #[derive(Debug)]
 pub enum ReadError {
-    /// The stream failed.
+    /// Reading the stream failed.
     Io(io::Error),
-    /// The stream ended inside a message.
+    /// The stream ended within a message head.
     Truncated,
-    /// The head is longer than allowed.
+    /// The head is longer than the caller's limit.
     HeadTooLong,
-    /// The body's framing is malformed.
+    /// The body is malformed or incomplete.
     Body(BodyError),
 }
 
@@ -29,8 +30,8 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ReadError::Io(error) => write!(formatter, "{error}"),
-            ReadError::Truncated => formatter.write_str("stream ended inside a message"),
-            ReadError::HeadTooLong => formatter.write_str("head too long"),
+            ReadError::Truncated => formatter.write_str("stream ended within a message head"),
+            ReadError::HeadTooLong => formatter.write_str("message head is too long"),
             ReadError::Body(error) => write!(formatter, "{error}"),
         }
     }
@@ -50,79 +51,82 @@
     }
 }
 
-/// A stream and what was read of it but not yet used.
+/// Reads message heads and bodies from a byte stream. Bytes that were read ahead
+/// stay in its buffer for the next message.
 #[derive(Debug)]
 pub struct MessageReader<R> {
     stream: R,
     buffer: BytesMut,
-    searched: usize,
+    /// Number of buffered bytes that are known to hold no end of a head.
+    scanned: usize,
 }
 
 impl<R: AsyncRead + Unpin> MessageReader<R> {
-    /// Reads from `stream`.
+    /// Creates a reader of `stream` with an empty buffer.
     pub fn new(stream: R) -> MessageReader<R> {
         MessageReader {
             stream,
             buffer: BytesMut::new(),
-            searched: 0,
+            scanned: 0,
         }
     }
 
-    /// The stream itself.
+    /// Mutable access to the underlying stream.
     pub fn stream(&mut self) -> &mut R {
         &mut self.stream
     }
 
-    /// Whether bytes were read that no message has used.
+    /// Whether the buffer holds bytes that no message has consumed yet.
     #[must_use]
     pub fn has_buffered_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Forgets what was read but not used.
+    /// Discards all buffered bytes.
     pub fn discard_buffered(&mut self) {
         self.buffer.clear();
-        self.searched = 0;
+        self.scanned = 0;
     }
 
-    /// Reads once; false at the end of the stream. Safe to cancel.
+    /// Reads once from the stream into the buffer and returns false at the end of
+    /// the stream. Cancel safe.
     ///
     /// # Errors
-    /// [`ReadError::Io`] when the stream fails.
+    /// [`ReadError::Io`] if reading the stream fails.
     pub async fn fill(&mut self) -> Result<bool, ReadError> {
-        self.buffer.reserve(READ_SIZE);
+        self.buffer.reserve(MIN_READ_CAPACITY_BYTES);
         Ok(self.stream.read_buf(&mut self.buffer).await? > 0)
     }
 
-    /// The next head if the buffer holds it whole.
+    /// Removes the next head from the buffer; `None` if it is still incomplete.
     ///
     /// # Errors
-    /// [`ReadError::HeadTooLong`] past `limit` bytes.
+    /// [`ReadError::HeadTooLong`] if the head exceeds `limit` bytes.
     pub fn buffered_head(&mut self, limit: usize) -> Result<Option<Bytes>, ReadError> {
-        // Empty lines between messages are allowed and mean nothing.
-        while self.searched == 0 && self.buffer.starts_with(b"\r\n") {
+        // A recipient ignores empty lines before a message (RFC 9112, section 2.2).
+        while self.scanned == 0 && self.buffer.starts_with(b"\r\n") {
             let _ = self.buffer.split_to(2);
         }
-        match head_length(&self.buffer, self.searched) {
+        match head_length(&self.buffer, self.scanned) {
             Some(length) if length <= limit => {
-                self.searched = 0;
+                self.scanned = 0;
                 Ok(Some(self.buffer.split_to(length).freeze()))
             }
             Some(_) => Err(ReadError::HeadTooLong),
             None if self.buffer.len() > limit => Err(ReadError::HeadTooLong),
             None => {
-                self.searched = self.buffer.len();
+                self.scanned = self.buffer.len();
                 Ok(None)
             }
         }
     }
 
-    /// Reads the next head; `None` when the stream ended between messages.
-    /// Safe to cancel.
+    /// Reads the next head; `None` if the stream ended between two messages.
+    /// Cancel safe.
     ///
     /// # Errors
-    /// [`ReadError`] when the stream fails, ends inside the head, or the head
-    /// is longer than `limit` bytes.
+    /// [`ReadError`] if the stream fails or ends within the head, or if the head
+    /// exceeds `limit` bytes.
     pub async fn read_head(&mut self, limit: usize) -> Result<Option<Bytes>, ReadError> {
         loop {
             if let Some(head) = self.buffered_head(limit)? {
@@ -138,20 +142,20 @@
         }
     }
 
-    /// Reads the next piece of a body; `None` at its end. Safe to cancel.
+    /// Reads the next bytes of a body; `None` at the end of the body. Cancel safe.
     ///
     /// # Errors
-    /// [`ReadError`] when the stream fails or ends too soon, or the framing is
-    /// malformed.
+    /// [`ReadError`] if the stream fails or ends before the body does, or if the
+    /// body is malformed.
     pub async fn read_body_data(
         &mut self,
         body: &mut BodyDecoder,
     ) -> Result<Option<Bytes>, ReadError> {
         loop {
-            match body.step(&mut self.buffer)? {
-                BodyStep::Piece(piece) => return Ok(Some(piece)),
-                BodyStep::Done => return Ok(None),
-                BodyStep::NeedMore => {
+            match body.decode(&mut self.buffer)? {
+                DecodeOutcome::Data(data) => return Ok(Some(data)),
+                DecodeOutcome::Done => return Ok(None),
+                DecodeOutcome::NeedMore => {
                     if !self.fill().await? {
                         body.end_of_stream()?;
                         return Ok(None);
--- a/crates/http1/tests/message_cases.rs
+++ b/crates/http1/tests/message_cases.rs
@@ -1,4 +1,5 @@
-//! Messages from byte streams, whole and broken, in pieces of any size.
+//! Parsing of heads and decoding of bodies: valid, malformed and truncated
+//! messages, in reads of any size.
 
 use bytes::Bytes;
 use filbert_http1::{
@@ -7,7 +8,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// A request's head, and how its body is delimited.
+/// Header fields of a request and the body framing expected for them.
 struct FramingCase {
     fields: &'static str,
     framing: Result<BodyFraming, HeadError>,
@@ -26,7 +27,7 @@
 #[case(FramingCase { fields: "Content-Length: 5, 5\r\n", framing: Err(HeadError::Malformed) })]
 #[case(FramingCase { fields: "Content-Length: 99999999999999999999\r\n", framing: Err(HeadError::Malformed) })]
 #[case(FramingCase { fields: "Content Length: 5\r\n", framing: Err(HeadError::Malformed) })]
-fn a_body_is_delimited_in_one_way_or_refused(#[case] case: FramingCase) {
+fn ambiguous_body_framing_is_rejected(#[case] case: FramingCase) {
     let raw = Bytes::from(format!("POST / HTTP/1.1\r\n{}\r\n", case.fields));
     let framing = RequestHead::parse(&raw).map(|head| head.framing);
     assert_eq!(framing, case.framing, "{}", case.fields);
@@ -58,13 +59,13 @@
     BodyFraming::Length(5),
     false
 )]
-fn an_answers_head_tells_body_and_connection(
+fn a_response_head_determines_framing_and_persistence(
     #[case] text: &'static str,
-    #[case] to_head: bool,
+    #[case] request_was_head: bool,
     #[case] framing: BodyFraming,
     #[case] keep_alive: bool,
 ) {
-    let head = ResponseHead::parse(&Bytes::from(text), to_head).expect("a head");
+    let head = ResponseHead::parse(&Bytes::from(text), request_was_head).expect("head parses");
     assert_eq!((head.framing, head.keep_alive), (framing, keep_alive));
 }
 
@@ -72,8 +73,8 @@
     let mut reader = MessageReader::new(stream);
     let mut decoder = BodyDecoder::new(framing);
     let mut body = Vec::new();
-    while let Some(piece) = reader.read_body_data(&mut decoder).await? {
-        body.extend_from_slice(&piece);
+    while let Some(data) = reader.read_body_data(&mut decoder).await? {
+        body.extend_from_slice(&data);
     }
     Ok(body)
 }
@@ -92,20 +93,20 @@
 #[case(BodyFraming::Chunked, "5\r\nhello!\r\n0\r\n\r\n", false)]
 #[case(BodyFraming::Chunked, "no size\r\n", false)]
 #[tokio::test]
-async fn a_body_is_whole_or_an_error(
+async fn a_truncated_or_malformed_body_is_an_error(
     #[case] framing: BodyFraming,
     #[case] text: &str,
-    #[case] is_whole: bool,
+    #[case] is_complete: bool,
 ) {
     let body = read_all(text.as_bytes(), framing).await;
-    assert_eq!(body.is_ok(), is_whole, "{text}");
-    if is_whole {
-        assert_eq!(body.expect("whole"), b"hello");
+    assert_eq!(body.is_ok(), is_complete, "{text}");
+    if is_complete {
+        assert_eq!(body.expect("body is complete"), b"hello");
     }
 }
 
 #[tokio::test]
-async fn a_head_beyond_the_limit_is_refused_before_it_is_whole() {
+async fn a_head_over_the_limit_is_rejected_while_incomplete() {
     let text = format!("GET / HTTP/1.1\r\nX: {}", "y".repeat(5_000));
     let mut reader = MessageReader::new(text.as_bytes());
     assert!(matches!(
@@ -115,37 +116,37 @@
 }
 
 proptest! {
-    /// Whatever the sizes of chunks and of the pieces in which they arrive,
-    /// the body is the same and what follows it is left alone.
+    /// The decoded body depends neither on the sizes of the chunks nor on those of
+    /// the reads, and the message after the body stays in the buffer.
     #[test]
-    fn chunks_in_any_pieces_give_the_same_body(
+    fn a_chunked_body_decodes_alike_for_all_chunk_and_read_sizes(
         sizes in prop::collection::vec(1usize..400, 0..12),
-        cut in 1usize..64,
+        read_size in 1usize..64,
     ) {
-        let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
+        let runtime = tokio::runtime::Builder::new_current_thread().build().expect("runtime starts");
         let mut wire = Vec::new();
         let mut expected = Vec::new();
         for (index, size) in sizes.iter().enumerate() {
-            let piece = vec![b'a' + u8::try_from(index).unwrap_or(0); *size];
+            let chunk = vec![b'a' + u8::try_from(index).unwrap_or(0); *size];
             wire.extend_from_slice(format!("{size:x}\r\n").as_bytes());
-            wire.extend_from_slice(&piece);
+            wire.extend_from_slice(&chunk);
             wire.extend_from_slice(b"\r\n");
-            expected.extend_from_slice(&piece);
+            expected.extend_from_slice(&chunk);
         }
         wire.extend_from_slice(b"0\r\n\r\nGET / HTTP/1.1\r\n\r\n");
         let (body, next) = runtime.block_on(async {
-            let (mut send, receive) = tokio::io::duplex(cut);
+            let (mut send, receive) = tokio::io::duplex(read_size);
             let feed = async move {
-                tokio::io::AsyncWriteExt::write_all(&mut send, &wire).await.expect("fed");
+                tokio::io::AsyncWriteExt::write_all(&mut send, &wire).await.expect("stream is written");
             };
             let read = async {
                 let mut reader = MessageReader::new(receive);
                 let mut decoder = BodyDecoder::new(BodyFraming::Chunked);
                 let mut body = Vec::new();
-                while let Some(piece) = reader.read_body_data(&mut decoder).await.expect("a piece") {
-                    body.extend_from_slice(&piece);
+                while let Some(data) = reader.read_body_data(&mut decoder).await.expect("body data") {
+                    body.extend_from_slice(&data);
                 }
-                (body, reader.read_head(1_000).await.expect("the next head"))
+                (body, reader.read_head(1_000).await.expect("next head is read"))
             };
             let ((), read) = tokio::join!(feed, read);
             read
