--- a/crates/http1/tests/message_cases.rs
+++ b/crates/http1/tests/message_cases.rs
@@ -101,7 +101,7 @@
     let body = read_all(text.as_bytes(), framing).await;
     assert_eq!(body.is_ok(), is_complete, "{text}");
     if is_complete {
-        assert_eq!(body.expect("body is complete"), b"hello");
+        assert_eq!(body.expect("whole"), b"hello");
     }
 }
 
@@ -137,7 +137,7 @@
         let (body, next) = runtime.block_on(async {
             let (mut send, receive) = tokio::io::duplex(read_size);
             let feed = async move {
-                tokio::io::AsyncWriteExt::write_all(&mut send, &wire).await.expect("stream is written");
+                tokio::io::AsyncWriteExt::write_all(&mut send, &wire).await.expect("fed");
             };
             let read = async {
                 let mut reader = MessageReader::new(receive);
