--- a/crates/mesh/src/state.rs
+++ b/crates/mesh/src/state.rs
@@ -7,9 +7,9 @@
 
 use filbert_platform::store::StoreClient;
 use filbert_policy::budget::RetryBudget;
+use filbert_policy::client_timeouts::ClientTimeouts;
 use filbert_policy::clock::Clock;
 use filbert_policy::numbers::whole_of;
-use filbert_policy::patience::PatienceRecord;
 use filbert_policy::routing::RouteIndex;
 use filbert_policy::run_times::{RunMean, RunTime};
 use filbert_policy::weights::WeightDealer;
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct RouteHistory {
     /// How long its clients said that they would wait.
-    pub patience: PatienceRecord,
+    pub client_timeouts: ClientTimeouts,
     /// Usual size of an answer, in KiB.
     pub answer_kib: f64,
     /// Usual time of a run.
@@ -145,7 +145,7 @@
     /// Notes how long a client of `route` waits, and gives the time that has
     /// likely passed since its first try.
     pub fn note_wait(&self, route: &str, wait: Duration) -> Duration {
-        self.with_history(route, |history| history.patience.note(wait))
+        self.with_history(route, |history| history.client_timeouts.note(wait))
     }
 
     fn with_history<T>(&self, route: &str, change: impl FnOnce(&mut RouteHistory) -> T) -> T {
--- a/crates/policy/src/patience.rs
+++ b/crates/policy/src/client_timeouts.rs
@@ -19,14 +19,14 @@
 /// the most patient caller, first tries look as if most of their aim were gone:
 /// gates put them behind others or turn them away.
 #[derive(Clone, Debug, Default)]
-pub struct PatienceRecord {
+pub struct ClientTimeouts {
     /// Waits in the order in which they came, in milliseconds.
     recent: VecDeque<u32>,
     /// The same, the shortest first.
     sorted: Vec<u32>,
 }
 
-impl PatienceRecord {
+impl ClientTimeouts {
     /// Notes a call that waits `wait`, and gives the time that has likely passed
     /// since its caller's first try.
     pub fn note(&mut self, wait: Duration) -> Duration {
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,7 +1,7 @@
 //! The daemon's decisions, apart from input and output: state in, verdict out,
 //! the clock handed in.
 //!
-//! A call is routed ([`routing`], [`weights`]), its time judged ([`patience`]), placed on a target
+//! A call is routed ([`routing`], [`weights`]), its time judged ([`client_timeouts`]), placed on a target
 //! ([`placement`]), admitted, made to wait or declined there ([`admission`]),
 //! sent again or given up ([`attempt`],
 //! [`budget`]), and refused with a time
@@ -16,6 +16,7 @@
 pub mod admission;
 pub mod attempt;
 pub mod budget;
+pub mod client_timeouts;
 pub mod clock;
 pub mod egress;
 pub mod health;
@@ -24,7 +25,6 @@
 pub mod membership;
 pub mod numbers;
 pub mod organisations;
-pub mod patience;
 pub mod placement;
 pub mod quarantine;
 pub mod refusal;
--- a/crates/policy/tests/patience_replay.rs
+++ b/crates/policy/tests/patience_replay.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use filbert_policy::patience::PatienceRecord;
+use filbert_policy::client_timeouts::ClientTimeouts;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -51,13 +51,13 @@
 fn first_tries_keep_their_aim_and_second_tries_lose_theirs() {
     for case in CASES {
         let mut rng = StdRng::seed_from_u64(3);
-        let mut record = PatienceRecord::default();
+        let mut record = ClientTimeouts::default();
         let (mut first, mut again) = ((0.0, 0.0), (0.0, 0.0));
         for _ in 0..4_000 {
-            let patience = Duration::from_millis(rng.random_range(4_250..=5_000));
+            let client_timeouts = Duration::from_millis(rng.random_range(4_250..=5_000));
             let is_again = rng.random_bool(case.again);
             let lost = if is_again { case.passed_ms } else { 0 };
-            let told = record.note(patience.saturating_sub(Duration::from_millis(lost)));
+            let told = record.note(client_timeouts.saturating_sub(Duration::from_millis(lost)));
             let sum = if is_again { &mut again } else { &mut first };
             sum.0 += told.as_secs_f64() * 1_000.0;
             sum.1 += 1.0;
@@ -74,7 +74,7 @@
 /// Callers that all wait alike: what is missing is what has passed.
 #[test]
 fn alike_callers_tell_exactly_what_has_passed() {
-    let mut record = PatienceRecord::default();
+    let mut record = ClientTimeouts::default();
     for _ in 0..20 {
         assert_eq!(record.note(Duration::from_secs(1)), Duration::ZERO);
     }
