--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -6,8 +6,10 @@
 
 use filbert_mesh::text_delta::TextDelta;
 use filbert_platform::operator::{read_config, ConfigDecoder};
-use filbert_policy::admission::{CallDemand, GateQueue, GateVerdict, LinkTime, WaitLimits};
-use filbert_policy::budget::{BudgetTerms, RepeatCause, RetryBudget};
+use filbert_policy::admission::{
+    AdmissionDecision, AdmissionQueue, AdmissionRequest, LinkTime, QueueLimits,
+};
+use filbert_policy::budget::{RetryBudget, RetryBudgetLimits, RetryCause};
 use filbert_policy::identity::{CallIdentity, IdentityParts};
 use filbert_policy::organisations::keys::{KeyHash, KeyIndex, OrganisationRule, RateLimit};
 use filbert_policy::organisations::quota::{PoolPart, QuotaTerms, TokenPool};
@@ -19,7 +21,7 @@
 use filbert_policy::routing::{
     ClientLimits, MeshVersion, RouteIndex, RouteKind, RoutePart, RouteRule,
 };
-use filbert_policy::run_times::{RunTime, RunTimes};
+use filbert_policy::run_times::{RunTime, RunTimeEstimator};
 use filbert_policy::weights::WeightDealer;
 
 /// Decisions measured for each figure.
@@ -46,7 +48,7 @@
         prefix: format!("/p{number}/"),
         kind: RouteKind::Idempotent,
         timeout: Duration::from_secs(2),
-        aim: Duration::from_millis(600),
+        soft_deadline: Duration::from_millis(600),
         max_attempts: 2,
         priority: 1,
         parts: vec![
@@ -140,12 +142,12 @@
 
 /// Cost of noting a run and of judging the next by its kind.
 fn measure_run_times() {
-    let mut times = RunTimes::default();
-    let usual = RunTime::of_unknown_spread(Duration::from_millis(30));
+    let mut times = RunTimeEstimator::default();
+    let usual = RunTime::exponential(Duration::from_millis(30));
     let kinds = ["lookup", "order", "report"];
     measure("a run noted and judged, by kind", |round| {
         let kind = kinds[round as usize % kinds.len()];
-        times.note(kind, Some(usual), usual.mean);
+        times.record(kind, Some(usual), usual.mean);
         black_box(times.expect(kind, Some(usual)));
     });
 }
@@ -302,14 +304,14 @@
     measure_run_times();
     let now = Instant::now();
     let run = Duration::from_millis(200);
-    let mut queue = GateQueue::new(WaitLimits::default());
+    let mut queue = AdmissionQueue::new(QueueLimits::default());
     queue.set_slots(9);
     queue.set_open(true);
-    let demand = |round: u32| CallDemand {
+    let demand = |round: u32| AdmissionRequest {
         priority: u8::from(round.is_multiple_of(2)),
-        aim: now + Duration::from_secs(2),
+        soft_deadline: now + Duration::from_secs(2),
         deadline: now + Duration::from_secs(4),
-        run: RunTime::of_unknown_spread(run),
+        run: RunTime::exponential(run),
         link: LinkTime::default(),
     };
     for round in 0..40 {
@@ -317,19 +319,19 @@
     }
     measure("offer, settle and finish, some 30 waiting", |round| {
         let verdict = queue.offer(demand(round), run, now);
-        if !matches!(verdict, GateVerdict::Decline { .. }) {
-            queue.finished();
-            black_box(queue.settle(run, now));
+        if !matches!(verdict, AdmissionDecision::Decline { .. }) {
+            queue.finish_run();
+            black_box(queue.dispatch(run, now));
         }
     });
-    let terms = BudgetTerms {
+    let terms = RetryBudgetLimits {
         ratio: 0.2,
         slack: 56.0,
         window: Duration::from_secs(10),
     };
     let mut budget = RetryBudget::new(terms, now);
     measure("retry budget, earn and spend", |_| {
-        budget.earn("one", now);
-        black_box(budget.spend("one", RepeatCause::NoAnswer, 10, now));
+        budget.record_call("one", now);
+        black_box(budget.try_spend("one", RetryCause::NoAnswer, 10, now));
     });
 }
--- a/crates/ctl/src/mesh.rs
+++ b/crates/ctl/src/mesh.rs
@@ -139,7 +139,10 @@
             "timeout_ms".to_owned(),
             route.timeout.as_millis().to_string(),
         ),
-        ("aim_ms".to_owned(), route.aim.as_millis().to_string()),
+        (
+            "aim_ms".to_owned(),
+            route.soft_deadline.as_millis().to_string(),
+        ),
         ("max_attempts".to_owned(), route.max_attempts.to_string()),
         ("priority".to_owned(), route.priority.to_string()),
         ("parts".to_owned(), parts.join(" ")),
--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -35,14 +35,14 @@
     }
 
     /// Counts a caller's call of `service`.
-    pub fn earn(&self, service: &str) {
+    pub fn record_call(&self, service: &str) {
         self.with(service, |left| {
             *left = (*left + EARNED_PER_CALL).min(BUDGET_LIMIT);
         });
     }
 
     /// Takes one retry from the budget; false when there is none left.
-    pub fn spend(&self, service: &str) -> bool {
+    pub fn try_spend(&self, service: &str) -> bool {
         self.with(service, |left| match left.checked_sub(RETRY_COST) {
             Some(rest) => {
                 *left = rest;
--- a/crates/daemon/src/proxy/attempt.rs
+++ b/crates/daemon/src/proxy/attempt.rs
@@ -9,7 +9,7 @@
 use super::answer::{ProxyAnswer, NOT_RUN};
 use super::policy::{
     first_connection, is_repeatable, next_step, no_more_attempts, second_attempt_after, AttemptEnd,
-    CallAllowance, ConnectionKind, NextStep,
+    ConnectionKind, NextStep, RetryAllowance,
 };
 use super::{ProxyShared, OUTCOME_HEADER, REQUEST_ID_HEADER, SERVICE_HEADER};
 use crate::counters::CallOutcome;
@@ -50,14 +50,14 @@
     route: &RouteEntry,
     call: &CallParts,
 ) -> CallResult {
-    shared.retries.earn(&route.service);
+    shared.retries.record_call(&route.service);
     let mut run = CallRun {
         shared,
         route,
         call,
         repeatable: is_repeatable(call.method, &route.settings),
         tried: Vec::new(),
-        maybe_run: false,
+        may_have_run: false,
     };
     loop {
         let Some(slot) = run.choose() else {
@@ -82,7 +82,7 @@
     call: &'a CallParts,
     repeatable: bool,
     tried: Vec<String>,
-    maybe_run: bool,
+    may_have_run: bool,
 }
 
 impl<'a> CallRun<'a> {
@@ -97,10 +97,10 @@
         self.call.deadline.saturating_duration_since(now)
     }
 
-    fn allowance(&self, another: bool) -> CallAllowance {
-        CallAllowance {
+    fn allowance(&self, another: bool) -> RetryAllowance {
+        RetryAllowance {
             repeatable: self.repeatable,
-            maybe_run: self.maybe_run,
+            may_have_run: self.may_have_run,
             another,
         }
     }
@@ -152,7 +152,7 @@
             AttemptEnd::Declined | AttemptEnd::NotConnected => true,
         };
         let possible = self.retries_left() > 0 && !self.time_left().is_zero();
-        allowed && possible && self.shared.retries.spend(&self.route.service)
+        allowed && possible && self.shared.retries.try_spend(&self.route.service)
     }
 
     /// Makes an attempt and, when it takes long and the policy allows, a
@@ -168,7 +168,7 @@
         if let Ok(attempt) = tokio::time::timeout(wait, first.as_mut()).await {
             return self.note_end(attempt);
         }
-        if !self.shared.retries.spend(&self.route.service) {
+        if !self.shared.retries.try_spend(&self.route.service) {
             return self.note_end(first.await);
         }
         let Some(slot) = self.choose_second() else {
@@ -186,12 +186,12 @@
             },
         };
         // The one that lost may have run the call as well.
-        self.maybe_run = true;
+        self.may_have_run = true;
         attempt
     }
 
     fn note_end(&mut self, attempt: Attempt) -> Attempt {
-        self.maybe_run |= attempt.end == AttemptEnd::Lost;
+        self.may_have_run |= attempt.end == AttemptEnd::Lost;
         attempt
     }
 }
--- a/crates/daemon/src/proxy/policy.rs
+++ b/crates/daemon/src/proxy/policy.rs
@@ -35,11 +35,11 @@
 
 /// What is left for a call after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CallAllowance {
+pub struct RetryAllowance {
     /// Whether running the call twice does no harm.
     pub repeatable: bool,
     /// Whether an earlier attempt may have run it.
-    pub maybe_run: bool,
+    pub may_have_run: bool,
     /// Whether attempts, time and the retry budget allow another one.
     pub another: bool,
 }
@@ -62,7 +62,7 @@
 /// against telling a caller "not run" of a call that ran: that is said only
 /// when every attempt ended before the target could have run it.
 #[must_use]
-pub fn next_step(end: AttemptEnd, allowance: CallAllowance) -> NextStep {
+pub fn next_step(end: AttemptEnd, allowance: RetryAllowance) -> NextStep {
     match end {
         AttemptEnd::Answered => NextStep::PassOn,
         AttemptEnd::Declined | AttemptEnd::NotConnected if allowance.another => NextStep::SendAgain,
@@ -75,8 +75,8 @@
 /// What to say when there is no further attempt and the last one did not run
 /// the call.
 #[must_use]
-pub fn no_more_attempts(allowance: CallAllowance) -> NextStep {
-    if allowance.maybe_run {
+pub fn no_more_attempts(allowance: RetryAllowance) -> NextStep {
+    if allowance.may_have_run {
         NextStep::SayUnknown
     } else {
         NextStep::SayNotRun
--- a/crates/daemon/tests/call_cases.rs
+++ b/crates/daemon/tests/call_cases.rs
@@ -7,7 +7,7 @@
 use filbert_daemon::limits::RetryBudget;
 use filbert_daemon::messages::{encode_frame, FrameError, FrameReader, PeerMessage, FRAME_LIMIT};
 use filbert_daemon::proxy::policy::{
-    is_repeatable, next_step, second_attempt_after, AttemptEnd, CallAllowance, NextStep,
+    is_repeatable, next_step, second_attempt_after, AttemptEnd, NextStep, RetryAllowance,
 };
 use filbert_daemon::targets::{SlotGuard, TargetBoard, TargetChoice, TargetSign, ZoneTargets};
 use filbert_store::TargetRecord;
@@ -19,25 +19,25 @@
 struct StepCase {
     end: AttemptEnd,
     repeatable: bool,
-    maybe_run: bool,
+    may_have_run: bool,
     another: bool,
     step: NextStep,
 }
 
 #[rstest]
-#[case::answered(StepCase { end: AttemptEnd::Answered, repeatable: false, maybe_run: false, another: true, step: NextStep::PassOn })]
-#[case::declined_goes_on(StepCase { end: AttemptEnd::Declined, repeatable: false, maybe_run: false, another: true, step: NextStep::SendAgain })]
-#[case::declined_at_last(StepCase { end: AttemptEnd::Declined, repeatable: false, maybe_run: false, another: false, step: NextStep::SayNotRun })]
-#[case::declined_after_loss(StepCase { end: AttemptEnd::Declined, repeatable: true, maybe_run: true, another: false, step: NextStep::SayUnknown })]
-#[case::not_connected_goes_on(StepCase { end: AttemptEnd::NotConnected, repeatable: false, maybe_run: false, another: true, step: NextStep::SendAgain })]
-#[case::not_connected_at_last(StepCase { end: AttemptEnd::NotConnected, repeatable: false, maybe_run: false, another: false, step: NextStep::SayNotRun })]
-#[case::lost_order_is_not_sent_again(StepCase { end: AttemptEnd::Lost, repeatable: false, maybe_run: true, another: true, step: NextStep::SayUnknown })]
-#[case::lost_lookup_is_sent_again(StepCase { end: AttemptEnd::Lost, repeatable: true, maybe_run: true, another: true, step: NextStep::SendAgain })]
-#[case::lost_lookup_at_last(StepCase { end: AttemptEnd::Lost, repeatable: true, maybe_run: true, another: false, step: NextStep::SayUnknown })]
+#[case::answered(StepCase { end: AttemptEnd::Answered, repeatable: false, may_have_run: false, another: true, step: NextStep::PassOn })]
+#[case::declined_goes_on(StepCase { end: AttemptEnd::Declined, repeatable: false, may_have_run: false, another: true, step: NextStep::SendAgain })]
+#[case::declined_at_last(StepCase { end: AttemptEnd::Declined, repeatable: false, may_have_run: false, another: false, step: NextStep::SayNotRun })]
+#[case::declined_after_loss(StepCase { end: AttemptEnd::Declined, repeatable: true, may_have_run: true, another: false, step: NextStep::SayUnknown })]
+#[case::not_connected_goes_on(StepCase { end: AttemptEnd::NotConnected, repeatable: false, may_have_run: false, another: true, step: NextStep::SendAgain })]
+#[case::not_connected_at_last(StepCase { end: AttemptEnd::NotConnected, repeatable: false, may_have_run: false, another: false, step: NextStep::SayNotRun })]
+#[case::lost_order_is_not_sent_again(StepCase { end: AttemptEnd::Lost, repeatable: false, may_have_run: true, another: true, step: NextStep::SayUnknown })]
+#[case::lost_lookup_is_sent_again(StepCase { end: AttemptEnd::Lost, repeatable: true, may_have_run: true, another: true, step: NextStep::SendAgain })]
+#[case::lost_lookup_at_last(StepCase { end: AttemptEnd::Lost, repeatable: true, may_have_run: true, another: false, step: NextStep::SayUnknown })]
 fn attempt_is_followed_by_what_is_safe(#[case] case: StepCase) {
-    let allowance = CallAllowance {
+    let allowance = RetryAllowance {
         repeatable: case.repeatable,
-        maybe_run: case.maybe_run,
+        may_have_run: case.may_have_run,
         another: case.another,
     };
     assert_eq!(next_step(case.end, allowance), case.step);
@@ -76,13 +76,13 @@
     let budget = RetryBudget::default();
     let retries = (0..1_000)
         .filter(|_| {
-            budget.earn("quoting");
-            budget.spend("quoting")
+            budget.record_call("quoting");
+            budget.try_spend("quoting")
         })
         .count();
     assert!((200..=210).contains(&retries), "{retries} retries");
     assert!(
-        budget.spend("artwork"),
+        budget.try_spend("artwork"),
         "another service's budget is its own"
     );
 }
--- a/crates/mesh/src/calls/message.rs
+++ b/crates/mesh/src/calls/message.rs
@@ -19,7 +19,7 @@
         .headers
         .time_left
         .map_or(Duration::ZERO, |wait| shared.note_wait(&route.name, wait));
-    call.received + route.aim.saturating_sub(passed)
+    call.received + route.soft_deadline.saturating_sub(passed)
 }
 
 /// The call's message to `service`, and its body.
--- a/crates/mesh/src/calls/mod.rs
+++ b/crates/mesh/src/calls/mod.rs
@@ -133,7 +133,7 @@
     let placing = Placing::new(shared, route, call, limit, &progress, story);
     let answer = match tokio::time::timeout_at(limit.into(), placing.run()).await {
         Ok(answer) => answer,
-        Err(_) if progress.maybe_run.get() || progress.in_attempt.get() => {
+        Err(_) if progress.may_have_run.get() || progress.in_attempt.get() => {
             story.reason = "time_up";
             ClientAnswer::own(TIMED_OUT)
         }
--- a/crates/mesh/src/calls/pick.rs
+++ b/crates/mesh/src/calls/pick.rs
@@ -188,13 +188,13 @@
         return None;
     }
     let load = &status.load;
-    let run = usual.map_or_else(|| load.mean_run(), |usual| usual.at_pace(load.pace));
+    let run = usual.map_or_else(|| load.mean_run(), |usual| usual.slowed_by(load.slowdown));
     Some(TargetView {
         in_zone,
         slots: load.slots,
         occupancy,
         run_ms: run.mean.as_secs_f64() * 1_000.0,
-        spread_ms: run.spread.as_secs_f64() * 1_000.0,
+        spread_ms: run.mean_deviation.as_secs_f64() * 1_000.0,
         turn_ms: load.run_ms,
         ill_share: load.ill_share,
         is_cold: status.is_cold,
--- a/crates/mesh/src/calls/place.rs
+++ b/crates/mesh/src/calls/place.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use filbert_policy::attempt::{next_step, AttemptEnd, CallAllowance, NextStep};
-use filbert_policy::budget::RepeatCause;
+use filbert_policy::attempt::{next_step, AttemptEnd, NextStep, RetryAllowance};
+use filbert_policy::budget::RetryCause;
 use filbert_policy::quarantine::CallStanding;
 use filbert_policy::routing::RouteRule;
 use filbert_policy::run_times::RunTime;
@@ -41,7 +41,7 @@
 #[derive(Default)]
 pub(super) struct CallProgress {
     /// A target may have run it.
-    pub(super) maybe_run: Cell<bool>,
+    pub(super) may_have_run: Cell<bool>,
     /// An attempt is under way.
     pub(super) in_attempt: Cell<bool>,
 }
@@ -55,7 +55,7 @@
     head: CallHead,
     bodies: BodyCopies,
     limit: Instant,
-    aim: Instant,
+    soft_deadline: Instant,
     tried: Vec<String>,
     arrivals: u32,
     declines: u32,
@@ -86,10 +86,12 @@
             .deal(route, shared.seed)
             .to_owned();
         let now = shared.clock.now();
-        shared.budget.borrow_mut().earn(&service, now);
-        let aim = aim_of(shared, route, &call);
+        shared.budget.borrow_mut().record_call(&service, now);
+        let soft_deadline = aim_of(shared, route, &call);
         story.service.clone_from(&service);
-        story.aim_ms = aim.saturating_duration_since(call.received).as_millis();
+        story.aim_ms = soft_deadline
+            .saturating_duration_since(call.received)
+            .as_millis();
         let (head, body) = into_message(shared, route, &service, call);
         Placing {
             shared,
@@ -99,7 +101,7 @@
             head,
             bodies: BodyCopies::new(body),
             limit,
-            aim,
+            soft_deadline,
             tried: Vec::new(),
             arrivals: 0,
             declines: 0,
@@ -127,7 +129,7 @@
             let ends_by = self.shared.stop.ends_by().unwrap_or(self.limit);
             let limit = self.limit.min(ends_by);
             self.head.left_us = micros(limit.saturating_duration_since(now));
-            self.head.aim_us = micros(self.aim.saturating_duration_since(now));
+            self.head.aim_us = micros(self.soft_deadline.saturating_duration_since(now));
             if !self.may_go() {
                 return self.finish(silent).await;
             }
@@ -275,7 +277,7 @@
             }
             AttemptOutcome::Rejected => AttemptEnd::Rejected,
             AttemptOutcome::Lost => {
-                self.progress.maybe_run.set(true);
+                self.progress.may_have_run.set(true);
                 AttemptEnd::Lost
             }
         };
@@ -292,22 +294,22 @@
 
     fn decide(&self, end: AttemptEnd) -> NextStep {
         next_step(end, self.allowance(self.arrivals), |cause| {
-            self.is_paid.take() || self.spend(cause)
+            self.is_paid.take() || self.try_spend(cause)
         })
     }
 
-    fn allowance(&self, arrivals: u32) -> CallAllowance {
+    fn allowance(&self, arrivals: u32) -> RetryAllowance {
         let now = self.shared.clock.now();
         let left = self.limit.saturating_duration_since(now);
-        CallAllowance {
+        RetryAllowance {
             // A call under which targets ended twice in a row is not sent on to
             // a third by itself.
             repeatable: self.route.kind.is_repeatable() && !self.is_suspect(),
-            maybe_run: self.progress.maybe_run.get(),
-            other_target: self.declines < MOST_DECLINES
+            may_have_run: self.progress.may_have_run.get(),
+            has_other_target: self.declines < MOST_DECLINES
                 && self.bodies.is_copyable()
                 && left > LEAST_LEFT,
-            arrivals_left: self.route.max_attempts.saturating_sub(arrivals),
+            attempts_left: self.route.max_attempts.saturating_sub(arrivals),
         }
     }
 
@@ -319,18 +321,18 @@
         tried.push(host.to_owned());
         let allowance = self.allowance(self.arrivals + 1);
         let step = next_step(AttemptEnd::Lost, allowance, |cause| {
-            pick(self.shared, self.route, &self.head, &tried).is_some() && self.spend(cause)
+            pick(self.shared, self.route, &self.head, &tried).is_some() && self.try_spend(cause)
         });
         let leaves = step == NextStep::SendAgain;
         self.is_paid.set(leaves);
         leaves
     }
 
-    fn spend(&self, cause: RepeatCause) -> bool {
+    fn try_spend(&self, cause: RetryCause) -> bool {
         let daemons = self.shared.daemons();
         let now = self.shared.clock.now();
         let mut budget = self.shared.budget.borrow_mut();
-        budget.spend(&self.head.service, cause, daemons, now)
+        budget.try_spend(&self.head.service, cause, daemons, now)
     }
 }
 
--- a/crates/mesh/src/calls/place/ending.rs
+++ b/crates/mesh/src/calls/place/ending.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use filbert_policy::attempt::{AttemptEnd, NextStep};
-use filbert_policy::refusal::{come_back_after, come_back_to_shedding};
+use filbert_policy::refusal::{retry_after, retry_after_shedding};
 use filbert_policy::run_times::RunTime;
 use rand::Rng;
 
@@ -47,7 +47,7 @@
         if let Some((head, body)) = self.failure {
             return ClientAnswer::Target(head, body);
         }
-        if self.progress.maybe_run.get() {
+        if self.progress.may_have_run.get() {
             self.story.reason = "answer_lost";
             return ClientAnswer::own(BAD_GATEWAY);
         }
@@ -71,9 +71,9 @@
                 .head
                 .usual_run
                 .map_or(NO_TARGET, |usual| RunTime::from(usual).mean);
-            come_back_to_shedding(run, left, spread)
+            retry_after_shedding(run, left, spread)
         } else {
-            come_back_after(self.room.unwrap_or(NO_TARGET), left, spread)
+            retry_after(self.room.unwrap_or(NO_TARGET), left, spread)
         };
         refuse(come_back)
     }
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -12,13 +12,13 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use filbert_policy::admission::{GateQueue, LinkTime, WaitLimits, WaitTicket};
+use filbert_policy::admission::{AdmissionQueue, LinkTime, QueueLimits, WaitTicket};
 use filbert_policy::clock::Clock;
 use filbert_policy::health::{RunSign, TargetHealth};
 use filbert_policy::identity::CallIdentity;
 use filbert_policy::instance::{InstanceChange, InstanceKey, InstanceReport, InstanceTracker};
 use filbert_policy::numbers::count_of;
-use filbert_policy::run_times::{RunTime, RunTimes};
+use filbert_policy::run_times::{RunTime, RunTimeEstimator};
 use tokio::sync::{oneshot, Notify, Semaphore};
 
 use crate::body::MOST_AHEAD_KIB;
@@ -37,9 +37,9 @@
 const DRAIN_SHARE: f64 = 0.5;
 
 struct GateState {
-    queue: GateQueue,
+    queue: AdmissionQueue,
     health: TargetHealth,
-    times: RunTimes,
+    times: RunTimeEstimator,
     tracker: InstanceTracker,
     waiters: HashMap<WaitTicket, oneshot::Sender<Result<(), Duration>>>,
     down_until: Option<Instant>,
@@ -94,9 +94,9 @@
     ) -> Rc<Gate> {
         Rc::new(Gate {
             state: RefCell::new(GateState {
-                queue: GateQueue::new(WaitLimits::default()),
+                queue: AdmissionQueue::new(QueueLimits::default()),
                 health: TargetHealth::default(),
-                times: RunTimes::default(),
+                times: RunTimeEstimator::default(),
                 tracker: InstanceTracker::default(),
                 waiters: HashMap::new(),
                 down_until: None,
@@ -158,7 +158,7 @@
                 InstanceChange::Stale => {}
                 InstanceChange::Replaced => {
                     state.health = TargetHealth::default();
-                    state.times = RunTimes::default();
+                    state.times = RunTimeEstimator::default();
                     state.queue.set_slots(slots);
                     state.down_until = None;
                 }
@@ -220,7 +220,7 @@
     /// Takes word that a roll-out is at another stage: calls that wait for a
     /// target that is closed now are turned away, and others hear of it.
     pub fn rollout_changed(&self) {
-        self.settle();
+        self.dispatch();
         self.changed.notify_waiters();
     }
 
@@ -267,15 +267,15 @@
             running: state.queue.running(),
             waiting: state.queue.waiting(),
             run_ms: millis(turn_time(state, now)),
-            pace: state.times.pace(),
+            slowdown: state.times.slowdown(),
             ill_share: state.health.ill_share(),
             link_ms: millis(self.egress.backlog()),
             link_ms_per_kib: millis(self.egress.time_of(KIB)),
         }
     }
 
-    fn note(&self, sign: RunSign) {
-        self.state.borrow_mut().health.note(sign);
+    fn record(&self, sign: RunSign) {
+        self.state.borrow_mut().health.record(sign);
     }
 
     /// How long a run of `call` is expected to take here.
--- a/crates/mesh/src/gate/run.rs
+++ b/crates/mesh/src/gate/run.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use filbert_http1::ResponseHead;
-use filbert_policy::admission::{CallDemand, DeclineReason, LinkTime};
+use filbert_policy::admission::{AdmissionRequest, DeclineReason, LinkTime};
 use filbert_policy::egress::SHORT_ANSWER;
 use filbert_policy::health::RunSign;
 use filbert_policy::run_times::RunTime;
@@ -31,9 +31,9 @@
         link: LinkTime,
     ) -> (ReplyHead, AnswerBody) {
         let received = self.clock.now();
-        let demand = CallDemand {
+        let demand = AdmissionRequest {
             priority: call.priority,
-            aim: received + Duration::from_micros(call.aim_us),
+            soft_deadline: received + Duration::from_micros(call.aim_us),
             deadline: received + Duration::from_micros(call.left_us),
             run: self.expected_run(call),
             link,
@@ -151,10 +151,10 @@
             let mut state = self.state.borrow_mut();
             if head.status < FIRST_FAILURE {
                 let usual = run.call.usual_run.map(RunTime::from);
-                state.times.note(&run.call.kind, usual, took);
-                state.health.note(RunSign::Well);
+                state.times.record(&run.call.kind, usual, took);
+                state.health.record(RunSign::Well);
             } else {
-                state.health.note(RunSign::Ill);
+                state.health.record(RunSign::Ill);
             }
         }
         if head.status >= FIRST_FAILURE {
@@ -164,7 +164,7 @@
 
     fn note_ill(&self, run: &CallRun<'_>, verdict: &'static str, reason: &str) {
         self.metrics.gate(verdict);
-        self.note(RunSign::Ill);
+        self.record(RunSign::Ill);
         self.say_run(run, verdict, reason);
     }
 
--- a/crates/mesh/src/gate/wait.rs
+++ b/crates/mesh/src/gate/wait.rs
@@ -3,7 +3,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use filbert_policy::admission::{CallDemand, DeclineReason, GateVerdict, WaitEnd, WaitTicket};
+use filbert_policy::admission::{
+    AdmissionDecision, AdmissionRequest, DeclineReason, WaitOutcome, WaitTicket,
+};
 use filbert_policy::health::RunSign;
 use filbert_policy::identity::CallIdentity;
 use tokio::sync::oneshot;
@@ -29,7 +31,7 @@
 impl RunPermit {
     /// Notes that the target broke the answer off.
     pub fn broke_off(self) {
-        self.gate.note(RunSign::Ill);
+        self.gate.record(RunSign::Ill);
         if let Some(run) = self.started() {
             self.gate.mark_later(run.call, run.at);
         }
@@ -51,10 +53,10 @@
     fn drop(&mut self) {
         {
             let mut state = self.gate.state.borrow_mut();
-            state.queue.finished();
+            state.queue.finish_run();
             state.started.remove(&self.run);
         }
-        self.gate.settle();
+        self.gate.dispatch();
     }
 }
 
@@ -90,11 +92,11 @@
             state.waiters.remove(&self.ticket);
             state.queue.cancel(self.ticket);
             if was_started {
-                state.queue.finished();
+                state.queue.finish_run();
             }
         }
         if was_started {
-            self.gate.settle();
+            self.gate.dispatch();
         }
     }
 }
@@ -113,7 +115,7 @@
     pub(super) async fn admit(
         self: &Rc<Self>,
         call: &CallHead,
-        demand: CallDemand,
+        demand: AdmissionRequest,
     ) -> Result<RunPermit, Declined> {
         let now = self.clock.now();
         let waiting = {
@@ -127,11 +129,11 @@
             state.queue.set_open(is_open);
             let turn = turn_time(state, now);
             match state.queue.offer(demand, turn, now) {
-                GateVerdict::Run => None,
-                GateVerdict::Decline { reason, room_in } => {
+                AdmissionDecision::Run => None,
+                AdmissionDecision::Decline { reason, room_in } => {
                     return Err(Declined { reason, room_in })
                 }
-                GateVerdict::Wait(ticket) => {
+                AdmissionDecision::Wait(ticket) => {
                     let (sender, receiver) = oneshot::channel();
                     state.waiters.insert(ticket, sender);
                     Some((ticket, receiver))
@@ -167,7 +169,7 @@
     }
 
     /// Starts and turns away what the queue says.
-    pub(super) fn settle(&self) {
+    pub(super) fn dispatch(&self) {
         let now = self.clock.now();
         let mut freed = 0;
         {
@@ -178,14 +180,14 @@
             }
             let turn = turn_time(state, now);
             let ends = if self.target_state(state, now) == TargetState::Closed {
-                state.queue.turn_away_all(turn)
+                state.queue.decline_all(turn)
             } else {
-                state.queue.settle(turn, now)
+                state.queue.dispatch(turn, now)
             };
             for end in ends {
                 let (ticket, answer) = match end {
-                    WaitEnd::Run(ticket) => (ticket, Ok(())),
-                    WaitEnd::Decline { ticket, room_in } => (ticket, Err(room_in)),
+                    WaitOutcome::Run(ticket) => (ticket, Ok(())),
+                    WaitOutcome::Decline { ticket, room_in } => (ticket, Err(room_in)),
                 };
                 let runs = answer.is_ok();
                 let taken = state
@@ -193,13 +195,13 @@
                     .remove(&ticket)
                     .is_some_and(|waiter| waiter.send(answer).is_ok());
                 if runs && !taken {
-                    state.queue.finished();
+                    state.queue.finish_run();
                     freed += 1;
                 }
             }
         }
         if freed > 0 {
-            self.settle();
+            self.dispatch();
         }
     }
 
@@ -210,7 +212,7 @@
                 self.crowd.notified().await;
             }
             tokio::time::sleep(SETTLE_EVERY).await;
-            self.settle();
+            self.dispatch();
         }
     }
 }
--- a/crates/mesh/src/messages.rs
+++ b/crates/mesh/src/messages.rs
@@ -78,7 +78,7 @@
     /// Mean time of the runs under way, in milliseconds.
     pub run_ms: f64,
     /// How much longer than usual runs of all kinds take; 1 when usual.
-    pub pace: f64,
+    pub slowdown: f64,
     /// Share of its recent runs that ended ill, 0 to 1.
     pub ill_share: f64,
     /// Time until the host's link is free of the answers that are due, in
@@ -93,7 +93,7 @@
     #[must_use]
     pub fn mean_run(&self) -> RunTime {
         let mean = Duration::from_secs_f64(self.run_ms.max(0.0) / 1_000.0);
-        RunTime::of_unknown_spread(mean)
+        RunTime::exponential(mean)
     }
 }
 
--- a/crates/mesh/src/messages/calls.rs
+++ b/crates/mesh/src/messages/calls.rs
@@ -55,7 +55,7 @@
     fn from(time: RunTime) -> UsualRun {
         UsualRun {
             mean_us: micros(time.mean),
-            spread_us: micros(time.spread),
+            spread_us: micros(time.mean_deviation),
         }
     }
 }
@@ -64,7 +64,7 @@
     fn from(usual: UsualRun) -> RunTime {
         RunTime {
             mean: Duration::from_micros(usual.mean_us),
-            spread: Duration::from_micros(usual.spread_us),
+            mean_deviation: Duration::from_micros(usual.spread_us),
         }
     }
 }
--- a/crates/mesh/src/settings.rs
+++ b/crates/mesh/src/settings.rs
@@ -7,7 +7,7 @@
 
 use error_stack::{Report, ResultExt};
 use filbert_platform::operator::parse_time;
-use filbert_policy::budget::BudgetTerms;
+use filbert_policy::budget::RetryBudgetLimits;
 use filbert_policy::membership::DEFAULT_SERVICES;
 use filbert_policy::organisations::quota::QuotaTerms;
 use filbert_policy::placement::CrossingCost;
@@ -318,8 +318,8 @@
 
     /// The terms of the retry budget.
     #[must_use]
-    pub fn budget_terms(&self) -> BudgetTerms {
-        BudgetTerms {
+    pub fn retry_budget_limits(&self) -> RetryBudgetLimits {
+        RetryBudgetLimits {
             ratio: self.retry.ratio,
             slack: self.retry.slack,
             window: self.retry.window,
--- a/crates/mesh/src/shell.rs
+++ b/crates/mesh/src/shell.rs
@@ -127,7 +127,7 @@
     let organisations = OrganisationDesk::new(&settings, Rc::clone(&clock));
     Rc::new(MeshShared {
         store: StoreClient::new(&settings.store, STORE_TIMEOUT, Arc::new(SystemClock)),
-        budget: RefCell::new(RetryBudget::new(settings.budget_terms(), now)),
+        budget: RefCell::new(RetryBudget::new(settings.retry_budget_limits(), now)),
         settings: RefCell::new(Rc::new(settings)),
         versions: VersionBook::default(),
         members: MemberBook::default(),
--- a/crates/mesh/src/state.rs
+++ b/crates/mesh/src/state.rs
@@ -11,7 +11,7 @@
 use filbert_policy::clock::Clock;
 use filbert_policy::numbers::whole_of;
 use filbert_policy::routing::RouteIndex;
-use filbert_policy::run_times::{RunMean, RunTime};
+use filbert_policy::run_times::{RunTime, RunTimeAverage};
 use filbert_policy::weights::WeightDealer;
 
 use tokio::sync::Notify;
@@ -38,7 +38,7 @@
     /// Usual size of an answer, in KiB.
     pub answer_kib: f64,
     /// Usual time of a run.
-    pub run: RunMean,
+    pub run: RunTimeAverage,
 }
 
 /// Weight of the newest answer in a route's usual size.
@@ -145,7 +145,7 @@
     /// Notes how long a client of `route` waits, and gives the time that has
     /// likely passed since its first try.
     pub fn note_wait(&self, route: &str, wait: Duration) -> Duration {
-        self.with_history(route, |history| history.client_timeouts.note(wait))
+        self.with_history(route, |history| history.client_timeouts.record(wait))
     }
 
     fn with_history<T>(&self, route: &str, change: impl FnOnce(&mut RouteHistory) -> T) -> T {
@@ -165,7 +165,7 @@
             } else {
                 history.answer_kib += (kib - history.answer_kib) * NEWEST_ANSWER;
             }
-            history.run.note(ran);
+            history.run.record(ran);
         });
     }
 
--- a/crates/mesh/src/status.rs
+++ b/crates/mesh/src/status.rs
@@ -88,7 +88,7 @@
             let (before, after) = (&told.load, &status.load);
             is_other_target(told, status)
                 || RoomLevel::of(before) != RoomLevel::of(after)
-                || (before.pace - after.pace).abs() > FAR_PACE_CHANGE * before.pace
+                || (before.slowdown - after.slowdown).abs() > FAR_PACE_CHANGE * before.slowdown
                 || (before.ill_share - after.ill_share).abs() > FAR_ILL_CHANGE
         }
         (told, status) => told.is_some() != status.is_some(),
--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -12,17 +12,17 @@
 
 use order::{CallOrder, OfferedLoad};
 use wait::ExpectedWait;
-pub use wait::SHORT_RUN;
+pub use wait::SHORT_RUN_RATIO;
 
 use crate::run_times::RunTime;
 
 /// A call at the gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CallDemand {
+pub struct AdmissionRequest {
     /// Rank of the call; 0 goes first.
     pub priority: u8,
     /// Until when an answer is worth most.
-    pub aim: Instant,
+    pub soft_deadline: Instant,
     /// Until when an answer is worth anything.
     pub deadline: Instant,
     /// How long its run is expected to take here.
@@ -62,7 +62,7 @@
 
 /// What becomes of a call at the gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GateVerdict {
+pub enum AdmissionDecision {
     /// It runs now.
     Run,
     /// It waits.
@@ -78,7 +78,7 @@
 
 /// What became of calls that waited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WaitEnd {
+pub enum WaitOutcome {
     /// It runs now.
     Run(WaitTicket),
     /// It can no longer be answered in time.
@@ -92,22 +92,22 @@
 
 /// Limits of waiting.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct WaitLimits {
+pub struct QueueLimits {
     /// Calls that may wait for each slot. More than a handful is never worked
     /// off within the aim; the limit bounds memory when every call is patient.
     pub per_slot: u32,
 }
 
-impl Default for WaitLimits {
+impl Default for QueueLimits {
     fn default() -> Self {
-        WaitLimits { per_slot: 6 }
+        QueueLimits { per_slot: 6 }
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 struct WaitingCall {
     ticket: WaitTicket,
-    demand: CallDemand,
+    demand: AdmissionRequest,
     since: Instant,
     /// Whether its aim was taken for lost when it came.
     is_filler: bool,
@@ -129,8 +129,8 @@
 /// that they take for what they are worth, then by the time at which they must
 /// start.
 #[derive(Debug)]
-pub struct GateQueue {
-    limits: WaitLimits,
+pub struct AdmissionQueue {
+    limits: QueueLimits,
     slots: u32,
     running: u32,
     waiting: Vec<WaitingCall>,
@@ -139,11 +139,11 @@
     load: OfferedLoad,
 }
 
-impl GateQueue {
+impl AdmissionQueue {
     /// A closed gate with nothing at it.
     #[must_use]
-    pub fn new(limits: WaitLimits) -> GateQueue {
-        GateQueue {
+    pub fn new(limits: QueueLimits) -> AdmissionQueue {
+        AdmissionQueue {
             limits,
             slots: 1,
             running: 0,
@@ -206,14 +206,19 @@
     }
 
     /// Takes a call, if those at the target take `turn`.
-    pub fn offer(&mut self, demand: CallDemand, turn: Duration, now: Instant) -> GateVerdict {
+    pub fn offer(
+        &mut self,
+        demand: AdmissionRequest,
+        turn: Duration,
+        now: Instant,
+    ) -> AdmissionDecision {
         if !self.is_open {
-            return GateVerdict::Decline {
+            return AdmissionDecision::Decline {
                 reason: DeclineReason::Closed,
                 room_in: turn,
             };
         }
-        self.load.note(&demand, self.slots, now);
+        self.load.record(&demand, self.slots, now);
         if self.running < self.slots && self.waiting.is_empty() {
             // Guards against work whose answer the host's link cannot carry in
             // time: with free slots alone to go by, answers of 90 KB pile up
@@ -223,20 +228,20 @@
                 || at_once.meets_aim(&demand, now)
                 || at_once.fits_in(&demand, now);
             if !has_link {
-                return GateVerdict::Decline {
+                return AdmissionDecision::Decline {
                     reason: DeclineReason::Crowded,
                     room_in: demand.link.wait,
                 };
             }
             self.running += 1;
-            return GateVerdict::Run;
+            return AdmissionDecision::Run;
         }
         let at_best = self.wait_as(&demand, false, turn, now);
         let is_filler = !at_best.meets_aim(&demand, now);
         let most = (self.limits.per_slot * self.slots) as usize;
         let is_in_vain = is_filler && !self.wait_as(&demand, true, turn, now).fits_in(&demand, now);
         if is_in_vain || self.waiting.len() >= most {
-            return GateVerdict::Decline {
+            return AdmissionDecision::Decline {
                 reason: DeclineReason::Crowded,
                 room_in: self.room_in(turn),
             };
@@ -249,13 +254,13 @@
             since: now,
             is_filler,
         });
-        GateVerdict::Wait(ticket)
+        AdmissionDecision::Wait(ticket)
     }
 
     /// The wait of `demand`, as a filler or not.
     fn wait_as(
         &self,
-        demand: &CallDemand,
+        demand: &AdmissionRequest,
         is_filler: bool,
         turn: Duration,
         now: Instant,
@@ -290,14 +295,14 @@
     }
 
     /// Counts the end of a run.
-    pub fn finished(&mut self) {
+    pub fn finish_run(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
     /// Starts what can start and turns away what can no longer be answered in
     /// time. To be called after each change and from time to time.
     /// Calls at the target take `turn`.
-    pub fn settle(&mut self, turn: Duration, now: Instant) -> Vec<WaitEnd> {
+    pub fn dispatch(&mut self, turn: Duration, now: Instant) -> Vec<WaitOutcome> {
         let mut ends = Vec::new();
         self.turn_away_late(turn, now, &mut ends);
         // Sorted by now: the first goes first.
@@ -305,7 +310,7 @@
         let starting = room.min(self.waiting.len());
         for call in self.waiting.drain(..starting) {
             self.running += 1;
-            ends.push(WaitEnd::Run(call.ticket));
+            ends.push(WaitOutcome::Run(call.ticket));
         }
         ends
     }
@@ -313,7 +318,7 @@
     /// Guards against calls held until their aim is lost and then turned away
     /// all the same, as when more urgent ones came behind them: a call is told
     /// as soon as what is now ahead of it leaves no time.
-    fn turn_away_late(&mut self, turn: Duration, now: Instant, ends: &mut Vec<WaitEnd>) {
+    fn turn_away_late(&mut self, turn: Duration, now: Instant, ends: &mut Vec<WaitOutcome>) {
         let room_in = self.room_in(turn);
         self.waiting
             .sort_by_key(|call| (call.order(now), call.ticket));
@@ -325,7 +330,7 @@
                 ahead += call.demand.run.mean;
                 kept.push(call);
             } else {
-                ends.push(WaitEnd::Decline {
+                ends.push(WaitOutcome::Decline {
                     ticket: call.ticket,
                     room_in,
                 });
@@ -335,10 +340,10 @@
     }
 
     /// Turns away all that wait, as when the target is gone.
-    pub fn turn_away_all(&mut self, turn: Duration) -> Vec<WaitEnd> {
+    pub fn decline_all(&mut self, turn: Duration) -> Vec<WaitOutcome> {
         self.waiting
             .drain(..)
-            .map(|call| WaitEnd::Decline {
+            .map(|call| WaitOutcome::Decline {
                 ticket: call.ticket,
                 room_in: turn,
             })
--- a/crates/policy/src/admission/order.rs
+++ b/crates/policy/src/admission/order.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::CallDemand;
+use super::AdmissionRequest;
 use crate::numbers::whole_of;
 
 /// Where a call stands among those that wait; the least goes first.
@@ -31,14 +31,18 @@
     /// lookup that is put behind the others until it is late costs a run
     /// elsewhere, which took more slot time than the lookup would have. A
     /// rank counts for a doubling of the slot time.
-    pub(super) fn of(demand: &CallDemand, is_filler: bool, now: Instant) -> CallOrder {
-        let is_late = is_filler || now + demand.run.mean.mul_f64(0.5) > demand.aim;
+    pub(super) fn of(demand: &AdmissionRequest, is_filler: bool, now: Instant) -> CallOrder {
+        let is_late = is_filler || now + demand.run.mean.mul_f64(0.5) > demand.soft_deadline;
         let run_ms = (demand.run.mean.as_secs_f64() * 1_000.0).max(1.0);
         let doublings = run_ms.log2() + f64::from(demand.priority) * RANK_DOUBLINGS;
         CallOrder {
             cost: whole_of(doublings * QUARTERS),
             is_late,
-            by: if is_late { demand.deadline } else { demand.aim },
+            by: if is_late {
+                demand.deadline
+            } else {
+                demand.soft_deadline
+            },
         }
     }
 
@@ -74,7 +78,7 @@
         (-passed.as_secs_f64() / LOAD_OVER.as_secs_f64()).exp()
     }
 
-    pub(super) fn note(&mut self, demand: &CallDemand, slots: u32, now: Instant) {
+    pub(super) fn record(&mut self, demand: &AdmissionRequest, slots: u32, now: Instant) {
         let fade = self.fade(now);
         for share in &mut self.steps {
             *share *= fade;
--- a/crates/policy/src/admission/wait.rs
+++ b/crates/policy/src/admission/wait.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::CallDemand;
+use super::AdmissionRequest;
 
 /// Part of the spread that must fit between the start of a call that waits
 /// already and its aim.
@@ -17,7 +17,7 @@
 /// whatever else comes: a handful of slots end in that time.
 const SHORT_WAIT: f64 = 0.6;
 /// Part of the runs at the target up to which a call is short.
-pub const SHORT_RUN: f64 = 0.5;
+pub const SHORT_RUN_RATIO: f64 = 0.5;
 /// Part of its time that a call that is likely late may wait: whoever is
 /// refused after that has little time left to come back.
 const LATE_HOLD: f64 = 0.5;
@@ -59,12 +59,12 @@
     }
 
     /// Whether a call that waits so long is likely answered in time.
-    pub(super) fn meets_aim(&self, demand: &CallDemand, now: Instant) -> bool {
-        now + self.likely + demand.run.most() + demand.link.total() <= demand.aim
+    pub(super) fn meets_aim(&self, demand: &AdmissionRequest, now: Instant) -> bool {
+        now + self.likely + demand.run.most() + demand.link.total() <= demand.soft_deadline
     }
 
     /// Whether a call that is likely late is worth its wait all the same.
-    pub(super) fn fits_in(&self, demand: &CallDemand, now: Instant) -> bool {
+    pub(super) fn fits_in(&self, demand: &AdmissionRequest, now: Instant) -> bool {
         let left = demand.deadline.saturating_duration_since(now);
         let link = demand.link.total();
         let run = demand.run.mean.mul_f64(LATE_RUNS);
@@ -82,8 +82,8 @@
     /// Load pattern: runs elsewhere wait for lookups of 30 ms at a target whose
     /// other runs take 480 ms. Turned away, a lookup costs the run that waits
     /// for it; let in, it takes a slot for a moment.
-    fn short_wait(&self, demand: &CallDemand) -> Duration {
-        if demand.run.mean <= self.turn.mul_f64(SHORT_RUN) {
+    fn short_wait(&self, demand: &AdmissionRequest) -> Duration {
+        if demand.run.mean <= self.turn.mul_f64(SHORT_RUN_RATIO) {
             self.turn.mul_f64(SHORT_WAIT)
         } else {
             Duration::ZERO
@@ -95,13 +95,13 @@
     /// when the next run takes a little longer than most.
     pub(super) fn is_worth_staying(
         &self,
-        demand: &CallDemand,
+        demand: &AdmissionRequest,
         since: Instant,
         now: Instant,
     ) -> bool {
-        let run = demand.run.mean + demand.run.spread.mul_f64(STAY_SPREAD);
+        let run = demand.run.mean + demand.run.mean_deviation.mul_f64(STAY_SPREAD);
         let rest = run + demand.link.send;
-        if now + self.likely + rest <= demand.aim {
+        if now + self.likely + rest <= demand.soft_deadline {
             return true;
         }
         if now + self.plain + demand.run.mean + demand.link.send > demand.deadline {
@@ -114,9 +114,9 @@
     /// Whether the wait of a likely late call that came at `since` ends before
     /// it has waited too long: for its aim if nothing else comes, and for all
     /// its time with what is likely to.
-    fn ends_in_time(&self, demand: &CallDemand, since: Instant, now: Instant) -> bool {
+    fn ends_in_time(&self, demand: &AdmissionRequest, since: Instant, now: Instant) -> bool {
         let had = demand.deadline.saturating_duration_since(since);
-        let to_aim = demand.aim.saturating_duration_since(since);
+        let to_aim = demand.soft_deadline.saturating_duration_since(since);
         let start = now + demand.link.wait;
         start + self.likely <= since + had.mul_f64(LATE_HOLD)
             && (to_aim.is_zero() || start + self.plain <= since + to_aim.mul_f64(AIM_HOLD))
--- a/crates/policy/src/attempt.rs
+++ b/crates/policy/src/attempt.rs
@@ -1,7 +1,7 @@
 //! What may be done with a call after an attempt: the rules that keep a call
 //! from running twice and a caller from being told the wrong thing.
 
-use crate::budget::RepeatCause;
+use crate::budget::RetryCause;
 
 /// How one attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,20 +36,20 @@
 
 /// What is left for a call after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CallAllowance {
+pub struct RetryAllowance {
     /// Whether running the call twice does no harm, to its caller or to targets.
     pub repeatable: bool,
     /// Whether an earlier attempt may have run it.
-    pub maybe_run: bool,
+    pub may_have_run: bool,
     /// Whether a target that was not tried yet would take it.
-    pub other_target: bool,
+    pub has_other_target: bool,
     /// Targets that the call may still be sent to.
-    pub arrivals_left: u32,
+    pub attempts_left: u32,
 }
 
-impl CallAllowance {
+impl RetryAllowance {
     fn say_end(self) -> NextStep {
-        if self.maybe_run {
+        if self.may_have_run {
             NextStep::SayUnknown
         } else {
             NextStep::SayNotRun
@@ -64,24 +64,26 @@
 /// against telling a caller "not run" of a call that ran: that is said only
 /// when every attempt ended before a target could have run it.
 ///
-/// `spend` takes one arrival from the shared budget; it is asked only when
+/// `try_spend` takes one arrival from the shared budget; it is asked only when
 /// nothing else stands against another one.
 #[must_use]
 pub fn next_step(
     end: AttemptEnd,
-    allowance: CallAllowance,
-    mut spend: impl FnMut(RepeatCause) -> bool,
+    allowance: RetryAllowance,
+    mut try_spend: impl FnMut(RetryCause) -> bool,
 ) -> NextStep {
-    let again = allowance.other_target && allowance.arrivals_left > 0;
+    let again = allowance.has_other_target && allowance.attempts_left > 0;
     let repeat = again && allowance.repeatable;
     match end {
-        AttemptEnd::AnsweredFailure if repeat && spend(RepeatCause::Failed) => NextStep::SendAgain,
+        AttemptEnd::AnsweredFailure if repeat && try_spend(RetryCause::Failed) => {
+            NextStep::SendAgain
+        }
         AttemptEnd::Answered | AttemptEnd::AnsweredFailure => NextStep::PassOn,
         // No target saw it, so another try is no repeat and costs no budget.
-        AttemptEnd::Declined if allowance.other_target => NextStep::SendAgain,
-        AttemptEnd::Rejected if again && spend(RepeatCause::NoAnswer) => NextStep::SendAgain,
+        AttemptEnd::Declined if allowance.has_other_target => NextStep::SendAgain,
+        AttemptEnd::Rejected if again && try_spend(RetryCause::NoAnswer) => NextStep::SendAgain,
         AttemptEnd::Declined | AttemptEnd::HeldBack | AttemptEnd::Rejected => allowance.say_end(),
-        AttemptEnd::Lost if repeat && spend(RepeatCause::NoAnswer) => NextStep::SendAgain,
+        AttemptEnd::Lost if repeat && try_spend(RetryCause::NoAnswer) => NextStep::SendAgain,
         AttemptEnd::Lost => NextStep::SayUnknown,
     }
 }
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -10,7 +10,7 @@
 
 /// What the daemons together may spend, from the host's settings.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct BudgetTerms {
+pub struct RetryBudgetLimits {
     /// Repeated arrivals per call, in any window.
     pub ratio: f64,
     /// Repeated arrivals per window and service on top, of all daemons together.
@@ -28,7 +28,7 @@
 
 /// Why an attempt is to be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RepeatCause {
+pub enum RetryCause {
     /// The target rejected the call or gave no whole answer.
     NoAnswer,
     /// The target ran the call and answered with a failure of its own.
@@ -71,7 +71,7 @@
 /// stand to each other; so much of every repeat is charged to each of them.
 #[derive(Debug)]
 pub struct RetryBudget {
-    terms: BudgetTerms,
+    terms: RetryBudgetLimits,
     start: Instant,
     services: HashMap<String, WindowCounts>,
 }
@@ -79,7 +79,7 @@
 impl RetryBudget {
     /// An unspent budget.
     #[must_use]
-    pub fn new(terms: BudgetTerms, now: Instant) -> RetryBudget {
+    pub fn new(terms: RetryBudgetLimits, now: Instant) -> RetryBudget {
         RetryBudget {
             terms,
             start: now,
@@ -106,25 +106,25 @@
     }
 
     /// Counts a call for `service`.
-    pub fn earn(&mut self, service: &str, now: Instant) {
+    pub fn record_call(&mut self, service: &str, now: Instant) {
         let slot = self.slot(now);
         self.counts(service).slice(slot).1 += 1;
     }
 
     /// Takes one repeated arrival from the budget, if `daemons` daemons with
     /// this one's share leave room for it, here and at the services behind.
-    pub fn spend(
+    pub fn try_spend(
         &mut self,
         service: &str,
-        cause: RepeatCause,
+        cause: RetryCause,
         daemons: usize,
         now: Instant,
     ) -> bool {
         let slot = self.slot(now);
         self.counts(service);
         let share = match cause {
-            RepeatCause::NoAnswer => USED_SHARE,
-            RepeatCause::Failed => USED_SHARE * FAILED_SHARE,
+            RetryCause::NoAnswer => USED_SHARE,
+            RetryCause::Failed => USED_SHARE * FAILED_SHARE,
         };
         let slack = self.terms.slack / count_of(daemons.max(1));
         let totals: Vec<(f64, f64)> = self
--- a/crates/policy/src/client_timeouts.rs
+++ b/crates/policy/src/client_timeouts.rs
@@ -29,7 +29,7 @@
 impl ClientTimeouts {
     /// Notes a call that waits `wait`, and gives the time that has likely passed
     /// since its caller's first try.
-    pub fn note(&mut self, wait: Duration) -> Duration {
+    pub fn record(&mut self, wait: Duration) -> Duration {
         let wait_ms = u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
         if self.recent.len() == MOST_REMEMBERED {
             if let Some(oldest) = self.recent.pop_front() {
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -25,7 +25,7 @@
 
 impl TargetHealth {
     /// Counts how a run ended.
-    pub fn note(&mut self, sign: RunSign) {
+    pub fn record(&mut self, sign: RunSign) {
         let ill = match sign {
             RunSign::Well => 0.0,
             RunSign::Ill => 1.0,
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -2,7 +2,7 @@
 
 use rand::Rng;
 
-use crate::admission::SHORT_RUN;
+use crate::admission::SHORT_RUN_RATIO;
 use crate::egress::SHORT_ANSWER;
 use crate::numbers::{bytes_of, count_of};
 
@@ -123,7 +123,7 @@
 /// of 30 ms that its gate lets go first. Reckoned behind all ten, 3,700 lookups
 /// in a minute left their zone for a target that was no sooner done.
 fn most_ahead(view: &TargetView) -> f64 {
-    if view.run_ms <= view.turn_ms * SHORT_RUN {
+    if view.run_ms <= view.turn_ms * SHORT_RUN_RATIO {
         SHORT_AHEAD
     } else {
         f64::INFINITY
--- a/crates/policy/src/refusal.rs
+++ b/crates/policy/src/refusal.rs
@@ -16,7 +16,7 @@
 /// over the time in which room appears, its calls return about as fast as
 /// targets take them.
 #[must_use]
-pub fn come_back_after(room_in: Duration, left: Duration, spread: f64) -> Duration {
+pub fn retry_after(room_in: Duration, left: Duration, spread: f64) -> Duration {
     let base = room_in.max(SHORTEST).min(LONGEST);
     let spread_over = base.mul_f64(0.6 + 0.8 * spread.clamp(0.0, 1.0));
     // A caller takes the advice only up to a third of its time; later advice
@@ -36,6 +36,6 @@
 /// as any, and each pause takes from the time to the call's aim. A part of a
 /// run is enough for what a target sheds in a short jam.
 #[must_use]
-pub fn come_back_to_shedding(run: Duration, left: Duration, spread: f64) -> Duration {
-    come_back_after(run.mul_f64(REJECTED_RUN), left, spread)
+pub fn retry_after_shedding(run: Duration, left: Duration, spread: f64) -> Duration {
+    retry_after(run.mul_f64(REJECTED_RUN), left, spread)
 }
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -48,7 +48,7 @@
     /// The longest a call may be kept waiting.
     pub timeout: Duration,
     /// The time within which an answer is worth most.
-    pub aim: Duration,
+    pub soft_deadline: Duration,
     /// Targets a call may be sent to at most.
     pub max_attempts: u32,
     /// Rank of its calls; 0 goes first.
--- a/crates/policy/src/run_times.rs
+++ b/crates/policy/src/run_times.rs
@@ -20,7 +20,7 @@
     /// On average.
     pub mean: Duration,
     /// Mean distance from that.
-    pub spread: Duration,
+    pub mean_deviation: Duration,
 }
 
 impl RunTime {
@@ -29,24 +29,24 @@
     /// they are exponential.
     #[must_use]
     pub fn most(&self) -> Duration {
-        self.mean + self.spread * 2
+        self.mean + self.mean_deviation * 2
     }
 
     /// Runs of which only the mean is known: taken as exponential.
     #[must_use]
-    pub fn of_unknown_spread(mean: Duration) -> RunTime {
+    pub fn exponential(mean: Duration) -> RunTime {
         RunTime {
             mean,
-            spread: mean.mul_f64(FIRST_SPREAD),
+            mean_deviation: mean.mul_f64(FIRST_SPREAD),
         }
     }
 
-    /// The same run at a target `pace` times as slow.
+    /// The same run at a target `slowdown` times as slow.
     #[must_use]
-    pub fn at_pace(&self, pace: f64) -> RunTime {
+    pub fn slowed_by(&self, slowdown: f64) -> RunTime {
         RunTime {
-            mean: self.mean.mul_f64(pace),
-            spread: self.spread.mul_f64(pace),
+            mean: self.mean.mul_f64(slowdown),
+            mean_deviation: self.mean_deviation.mul_f64(slowdown),
         }
     }
 }
@@ -57,7 +57,7 @@
 
 /// A running mean of run times, and of their distance from it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct RunMean {
+pub struct RunTimeAverage {
     mean_ms: f64,
     spread_ms: f64,
     runs: u32,
@@ -65,9 +65,9 @@
     last: u64,
 }
 
-impl RunMean {
+impl RunTimeAverage {
     /// Counts a run.
-    pub fn note(&mut self, took: Duration) {
+    pub fn record(&mut self, took: Duration) {
         let took_ms = millis(took);
         if self.runs == 0 {
             self.mean_ms = took_ms;
@@ -84,7 +84,7 @@
     pub fn time(&self) -> Option<RunTime> {
         (self.runs > 0).then(|| RunTime {
             mean: Duration::from_secs_f64(self.mean_ms / 1_000.0),
-            spread: Duration::from_secs_f64(self.spread_ms / 1_000.0),
+            mean_deviation: Duration::from_secs_f64(self.spread_ms / 1_000.0),
         })
     }
 }
@@ -99,41 +99,42 @@
 /// A kind that was not run here yet is judged by what callers say it usually
 /// takes, and by the target's pace: how much slower than usual its runs are.
 #[derive(Clone, Debug)]
-pub struct RunTimes {
-    kinds: HashMap<String, RunMean>,
-    all: RunMean,
-    pace: f64,
+pub struct RunTimeEstimator {
+    kinds: HashMap<String, RunTimeAverage>,
+    all: RunTimeAverage,
+    slowdown: f64,
     noted: u64,
 }
 
-impl Default for RunTimes {
+impl Default for RunTimeEstimator {
     fn default() -> Self {
-        RunTimes {
+        RunTimeEstimator {
             kinds: HashMap::new(),
-            all: RunMean::default(),
-            pace: 1.0,
+            all: RunTimeAverage::default(),
+            slowdown: 1.0,
             noted: 0,
         }
     }
 }
 
-impl RunTimes {
+impl RunTimeEstimator {
     /// Counts a run of `kind` that answered in full after `took`; `usual` is
     /// what such runs take elsewhere, as far as that is known.
-    pub fn note(&mut self, kind: &str, usual: Option<RunTime>, took: Duration) {
+    pub fn record(&mut self, kind: &str, usual: Option<RunTime>, took: Duration) {
         self.noted += 1;
-        self.all.note(took);
+        self.all.record(took);
         if let Some(usual) = usual.filter(|usual| !usual.mean.is_zero()) {
             let weight = NEWEST.max(1.0 / (f64::from(self.all.runs) + GUESS_RUNS));
-            let pace = millis(took) / millis(usual.mean);
-            self.pace += (pace - self.pace) * weight;
+            let slowdown = millis(took) / millis(usual.mean);
+            self.slowdown += (slowdown - self.slowdown) * weight;
         }
         if !self.kinds.contains_key(kind) {
             self.make_room();
-            self.kinds.insert(kind.to_owned(), RunMean::default());
+            self.kinds
+                .insert(kind.to_owned(), RunTimeAverage::default());
         }
         if let Some(mean) = self.kinds.get_mut(kind) {
-            mean.note(took);
+            mean.record(took);
             mean.last = self.noted;
         }
     }
@@ -153,7 +154,7 @@
     pub fn expect(&self, kind: &str, usual: Option<RunTime>) -> RunTime {
         let own = self.kinds.get(kind).copied().unwrap_or_default();
         let guess = usual
-            .map(|usual| usual.at_pace(self.pace))
+            .map(|usual| usual.slowed_by(self.slowdown))
             .or_else(|| own.time())
             .unwrap_or_else(|| self.of_any_kind());
         let runs = f64::from(own.runs);
@@ -163,14 +164,12 @@
         };
         RunTime {
             mean: mixed(own.mean_ms, guess.mean),
-            spread: mixed(own.spread_ms, guess.spread),
+            mean_deviation: mixed(own.spread_ms, guess.mean_deviation),
         }
     }
 
     fn of_any_kind(&self) -> RunTime {
-        self.all
-            .time()
-            .unwrap_or(RunTime::of_unknown_spread(FIRST_GUESS))
+        self.all.time().unwrap_or(RunTime::exponential(FIRST_GUESS))
     }
 
     /// Mean time of all runs.
@@ -181,8 +180,8 @@
 
     /// How much longer than usual runs take here; 1 for a usual target.
     #[must_use]
-    pub fn pace(&self) -> f64 {
-        self.pace
+    pub fn slowdown(&self) -> f64 {
+        self.slowdown
     }
 }
 
--- a/crates/policy/tests/admission_replay.rs
+++ b/crates/policy/tests/admission_replay.rs
@@ -12,7 +12,9 @@
 
 use std::time::{Duration, Instant};
 
-use filbert_policy::admission::{CallDemand, DeclineReason, GateVerdict, LinkTime, WaitEnd};
+use filbert_policy::admission::{
+    AdmissionDecision, AdmissionRequest, DeclineReason, LinkTime, WaitOutcome,
+};
 use filbert_policy::run_times::RunTime;
 use gate::{open_gate, replay, CallFate, LoadCall, SLOTS};
 use proptest::prelude::*;
@@ -29,7 +31,7 @@
         .map(|number| LoadCall {
             at: Duration::from_secs_f64(number as f64 / per_second),
             priority: u8::from(number % 3 != 0) + 1,
-            aim: Duration::from_millis(600),
+            soft_deadline: Duration::from_millis(600),
             left: Duration::from_secs(2),
             run: Duration::from_millis(if number % 10 == 9 { 500 } else { 150 }),
             expected: RUN,
@@ -105,26 +107,26 @@
 fn a_returning_call_goes_before_a_new_one_of_its_rank() {
     let now = Instant::now();
     let mut queue = open_gate();
-    let demand = |aim_ms: u64| CallDemand {
+    let demand = |aim_ms: u64| AdmissionRequest {
         priority: 1,
-        aim: now + Duration::from_millis(aim_ms),
+        soft_deadline: now + Duration::from_millis(aim_ms),
         deadline: now + Duration::from_secs(2),
-        run: RunTime::of_unknown_spread(RUN),
+        run: RunTime::exponential(RUN),
         link: LinkTime::default(),
     };
     for _ in 0..SLOTS {
-        assert_eq!(queue.offer(demand(900), RUN, now), GateVerdict::Run);
+        assert_eq!(queue.offer(demand(900), RUN, now), AdmissionDecision::Run);
     }
-    let GateVerdict::Wait(new) = queue.offer(demand(900), RUN, now) else {
+    let AdmissionDecision::Wait(new) = queue.offer(demand(900), RUN, now) else {
         panic!("a new call waits");
     };
-    let GateVerdict::Wait(returning) = queue.offer(demand(700), RUN, now) else {
+    let AdmissionDecision::Wait(returning) = queue.offer(demand(700), RUN, now) else {
         panic!("a returning call waits");
     };
-    queue.finished();
-    assert_eq!(queue.settle(RUN, now), [WaitEnd::Run(returning)]);
-    queue.finished();
-    assert_eq!(queue.settle(RUN, now), [WaitEnd::Run(new)]);
+    queue.finish_run();
+    assert_eq!(queue.dispatch(RUN, now), [WaitOutcome::Run(returning)]);
+    queue.finish_run();
+    assert_eq!(queue.dispatch(RUN, now), [WaitOutcome::Run(new)]);
 }
 
 #[test]
@@ -132,16 +134,16 @@
     let now = Instant::now();
     let mut queue = open_gate();
     queue.set_open(false);
-    let demand = CallDemand {
+    let demand = AdmissionRequest {
         priority: 0,
-        aim: now + RUN * 3,
+        soft_deadline: now + RUN * 3,
         deadline: now + RUN * 10,
-        run: RunTime::of_unknown_spread(RUN),
+        run: RunTime::exponential(RUN),
         link: LinkTime::default(),
     };
     assert!(matches!(
         queue.offer(demand, RUN, now),
-        GateVerdict::Decline {
+        AdmissionDecision::Decline {
             reason: DeclineReason::Closed,
             ..
         }
@@ -160,13 +162,13 @@
         let mut at = Duration::ZERO;
         let calls: Vec<LoadCall> = gaps
             .iter()
-            .map(|&(gap, priority, aim, run)| {
+            .map(|&(gap, priority, soft_deadline, run)| {
                 at += Duration::from_millis(gap);
                 LoadCall {
                     at,
                     priority,
-                    aim: Duration::from_millis(aim),
-                    left: Duration::from_millis(aim * 2),
+                    soft_deadline: Duration::from_millis(soft_deadline),
+                    left: Duration::from_millis(soft_deadline * 2),
                     run: Duration::from_millis(run),
                     expected: RUN,
                 }
--- a/crates/policy/tests/budget_replay.rs
+++ b/crates/policy/tests/budget_replay.rs
@@ -9,10 +9,10 @@
 
 use std::time::{Duration, Instant};
 
-use filbert_policy::budget::{BudgetTerms, RepeatCause, RetryBudget};
+use filbert_policy::budget::{RetryBudget, RetryBudgetLimits, RetryCause};
 use rstest::rstest;
 
-const TERMS: BudgetTerms = BudgetTerms {
+const TERMS: RetryBudgetLimits = RetryBudgetLimits {
     ratio: 0.2,
     slack: 56.0,
     window: Duration::from_secs(10),
@@ -53,11 +53,11 @@
         let now = start + at;
         let daemon = usize::try_from(number).expect("a number") % DAEMONS;
         let budget = &mut budgets[daemon];
-        budget.earn("front", now);
+        budget.record_call("front", now);
         front.push((at, false));
         let mut runs = 1;
         let is_ill = |salt: u64| (number * 7 + salt) % 10 < load.ill_of_ten;
-        if is_ill(0) && budget.spend("front", RepeatCause::Failed, DAEMONS, now) {
+        if is_ill(0) && budget.try_spend("front", RetryCause::Failed, DAEMONS, now) {
             front.push((at, true));
             runs = 2;
         }
@@ -68,9 +68,9 @@
             // The runs call from the daemons beside their targets.
             let beside = (daemon + 3) % DAEMONS;
             let budget = &mut budgets[beside];
-            budget.earn("behind", now);
+            budget.record_call("behind", now);
             behind.push((at, run > 0));
-            if is_ill(run + 1) && budget.spend("behind", RepeatCause::NoAnswer, DAEMONS, now) {
+            if is_ill(run + 1) && budget.try_spend("behind", RetryCause::NoAnswer, DAEMONS, now) {
                 behind.push((at, true));
             }
         }
@@ -104,10 +104,10 @@
     for second in 0..60 {
         let now = start + Duration::from_secs(second);
         for _ in 0..10 {
-            budget.earn("front", now);
+            budget.record_call("front", now);
         }
         assert!(
-            budget.spend("front", RepeatCause::NoAnswer, DAEMONS, now),
+            budget.try_spend("front", RetryCause::NoAnswer, DAEMONS, now),
             "second {second}"
         );
     }
@@ -119,10 +119,10 @@
     let start = Instant::now();
     let mut budget = RetryBudget::new(TERMS, start);
     let mut spent = 0;
-    while budget.spend("front", RepeatCause::NoAnswer, DAEMONS, start) {
+    while budget.try_spend("front", RetryCause::NoAnswer, DAEMONS, start) {
         spent += 1;
     }
     assert!(spent >= 3, "the slack alone allows some");
     let later = start + TERMS.window + Duration::from_secs(1);
-    assert!(budget.spend("front", RepeatCause::NoAnswer, DAEMONS, later));
+    assert!(budget.try_spend("front", RetryCause::NoAnswer, DAEMONS, later));
 }
--- a/crates/policy/tests/call_cases.rs
+++ b/crates/policy/tests/call_cases.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use filbert_policy::attempt::{next_step, AttemptEnd, CallAllowance, NextStep};
+use filbert_policy::attempt::{next_step, AttemptEnd, NextStep, RetryAllowance};
 use filbert_policy::health::{RunSign, TargetHealth};
 use filbert_policy::instance::{InstanceChange, InstanceKey, InstanceReport, InstanceTracker};
 use filbert_policy::routing::{
@@ -18,7 +18,7 @@
         prefix: prefix.to_owned(),
         kind: RouteKind::Idempotent,
         timeout: Duration::from_secs(2),
-        aim: Duration::from_millis(600),
+        soft_deadline: Duration::from_millis(600),
         max_attempts: 2,
         priority: 1,
         parts: parts
@@ -74,7 +74,7 @@
 struct StepCase {
     end: AttemptEnd,
     repeatable: bool,
-    maybe_run: bool,
+    may_have_run: bool,
     /// Whether there is another target, and whether the budget pays for it.
     other_and_budget: (bool, bool),
     left: u32,
@@ -82,25 +82,25 @@
 }
 
 #[rstest]
-#[case(StepCase { end: AttemptEnd::Answered, repeatable: false, maybe_run: true, other_and_budget: (true, true), left: 1, step: NextStep::PassOn })]
-#[case(StepCase { end: AttemptEnd::AnsweredFailure, repeatable: true, maybe_run: false, other_and_budget: (true, true), left: 1, step: NextStep::SendAgain })]
-#[case(StepCase { end: AttemptEnd::AnsweredFailure, repeatable: true, maybe_run: false, other_and_budget: (true, false), left: 1, step: NextStep::PassOn })]
-#[case(StepCase { end: AttemptEnd::AnsweredFailure, repeatable: false, maybe_run: false, other_and_budget: (true, true), left: 1, step: NextStep::PassOn })]
-#[case(StepCase { end: AttemptEnd::Declined, repeatable: false, maybe_run: false, other_and_budget: (true, false), left: 0, step: NextStep::SendAgain })]
-#[case(StepCase { end: AttemptEnd::Declined, repeatable: false, maybe_run: false, other_and_budget: (false, true), left: 1, step: NextStep::SayNotRun })]
-#[case(StepCase { end: AttemptEnd::Declined, repeatable: true, maybe_run: true, other_and_budget: (false, true), left: 1, step: NextStep::SayUnknown })]
-#[case(StepCase { end: AttemptEnd::Rejected, repeatable: false, maybe_run: false, other_and_budget: (true, true), left: 1, step: NextStep::SendAgain })]
-#[case(StepCase { end: AttemptEnd::Rejected, repeatable: false, maybe_run: false, other_and_budget: (true, false), left: 1, step: NextStep::SayNotRun })]
-#[case(StepCase { end: AttemptEnd::Rejected, repeatable: true, maybe_run: true, other_and_budget: (true, true), left: 0, step: NextStep::SayUnknown })]
-#[case(StepCase { end: AttemptEnd::Lost, repeatable: true, maybe_run: true, other_and_budget: (true, true), left: 1, step: NextStep::SendAgain })]
-#[case(StepCase { end: AttemptEnd::Lost, repeatable: true, maybe_run: true, other_and_budget: (true, true), left: 0, step: NextStep::SayUnknown })]
-#[case(StepCase { end: AttemptEnd::Lost, repeatable: false, maybe_run: true, other_and_budget: (true, true), left: 1, step: NextStep::SayUnknown })]
+#[case(StepCase { end: AttemptEnd::Answered, repeatable: false, may_have_run: true, other_and_budget: (true, true), left: 1, step: NextStep::PassOn })]
+#[case(StepCase { end: AttemptEnd::AnsweredFailure, repeatable: true, may_have_run: false, other_and_budget: (true, true), left: 1, step: NextStep::SendAgain })]
+#[case(StepCase { end: AttemptEnd::AnsweredFailure, repeatable: true, may_have_run: false, other_and_budget: (true, false), left: 1, step: NextStep::PassOn })]
+#[case(StepCase { end: AttemptEnd::AnsweredFailure, repeatable: false, may_have_run: false, other_and_budget: (true, true), left: 1, step: NextStep::PassOn })]
+#[case(StepCase { end: AttemptEnd::Declined, repeatable: false, may_have_run: false, other_and_budget: (true, false), left: 0, step: NextStep::SendAgain })]
+#[case(StepCase { end: AttemptEnd::Declined, repeatable: false, may_have_run: false, other_and_budget: (false, true), left: 1, step: NextStep::SayNotRun })]
+#[case(StepCase { end: AttemptEnd::Declined, repeatable: true, may_have_run: true, other_and_budget: (false, true), left: 1, step: NextStep::SayUnknown })]
+#[case(StepCase { end: AttemptEnd::Rejected, repeatable: false, may_have_run: false, other_and_budget: (true, true), left: 1, step: NextStep::SendAgain })]
+#[case(StepCase { end: AttemptEnd::Rejected, repeatable: false, may_have_run: false, other_and_budget: (true, false), left: 1, step: NextStep::SayNotRun })]
+#[case(StepCase { end: AttemptEnd::Rejected, repeatable: true, may_have_run: true, other_and_budget: (true, true), left: 0, step: NextStep::SayUnknown })]
+#[case(StepCase { end: AttemptEnd::Lost, repeatable: true, may_have_run: true, other_and_budget: (true, true), left: 1, step: NextStep::SendAgain })]
+#[case(StepCase { end: AttemptEnd::Lost, repeatable: true, may_have_run: true, other_and_budget: (true, true), left: 0, step: NextStep::SayUnknown })]
+#[case(StepCase { end: AttemptEnd::Lost, repeatable: false, may_have_run: true, other_and_budget: (true, true), left: 1, step: NextStep::SayUnknown })]
 fn an_ending_decides_what_follows(#[case] case: StepCase) {
-    let allowance = CallAllowance {
+    let allowance = RetryAllowance {
         repeatable: case.repeatable,
-        maybe_run: case.maybe_run,
-        other_target: case.other_and_budget.0,
-        arrivals_left: case.left,
+        may_have_run: case.may_have_run,
+        has_other_target: case.other_and_budget.0,
+        attempts_left: case.left,
     };
     let mut asked = 0;
     let step = next_step(case.end, allowance, |_| {
@@ -344,7 +344,7 @@
 fn an_ill_target_shows_within_twenty_calls() {
     let mut health = TargetHealth::default();
     for number in 0..20 {
-        health.note(if number % 2 == 0 {
+        health.record(if number % 2 == 0 {
             RunSign::Ill
         } else {
             RunSign::Well
@@ -352,7 +352,7 @@
     }
     assert!(health.ill_share() > 0.3, "{}", health.ill_share());
     for _ in 0..40 {
-        health.note(RunSign::Well);
+        health.record(RunSign::Well);
     }
     assert!(health.ill_share() < 0.01, "{}", health.ill_share());
 }
--- a/crates/policy/tests/egress_replay.rs
+++ b/crates/policy/tests/egress_replay.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use filbert_policy::admission::{
-    CallDemand, DeclineReason, GateQueue, GateVerdict, LinkTime, WaitLimits,
+    AdmissionDecision, AdmissionQueue, AdmissionRequest, DeclineReason, LinkTime, QueueLimits,
 };
 use filbert_policy::egress::{EgressQueue, EgressTicket, EgressVerdict};
 use filbert_policy::run_times::RunTime;
@@ -178,32 +178,32 @@
     const RUN: Duration = Duration::from_millis(180);
     let start = Instant::now();
     let mut link = EgressQueue::new(SLOW, start);
-    let mut gate = GateQueue::new(WaitLimits::default());
+    let mut gate = AdmissionQueue::new(QueueLimits::default());
     gate.set_slots(9);
     gate.set_open(true);
     let mut taken = 0;
     for call in 0..9 {
         let now = start + Duration::from_millis(20) * call;
-        let demand = CallDemand {
+        let demand = AdmissionRequest {
             priority: 2,
-            aim: now + Duration::from_millis(800),
+            soft_deadline: now + Duration::from_millis(800),
             deadline: now + Duration::from_secs(5),
-            run: RunTime::of_unknown_spread(RUN),
+            run: RunTime::exponential(RUN),
             link: LinkTime {
                 wait: link.backlog(now).saturating_sub(RUN),
                 send: link.time_of(ANSWER),
             },
         };
         match gate.offer(demand, RUN, now) {
-            GateVerdict::Run => {
+            AdmissionDecision::Run => {
                 link.promise(ANSWER);
                 taken += 1;
             }
-            GateVerdict::Decline { reason, room_in } => {
+            AdmissionDecision::Decline { reason, room_in } => {
                 assert_eq!(reason, DeclineReason::Crowded);
                 assert!(!room_in.is_zero());
             }
-            GateVerdict::Wait(_) => panic!("slots are free"),
+            AdmissionDecision::Wait(_) => panic!("slots are free"),
         }
     }
     assert!((3..=6).contains(&taken), "{taken} taken");
--- a/crates/policy/tests/mixed_load_replay.rs
+++ b/crates/policy/tests/mixed_load_replay.rs
@@ -60,7 +60,7 @@
             calls.push(LoadCall {
                 at,
                 priority: kind.priority,
-                aim: Duration::from_millis(kind.aim_ms),
+                soft_deadline: Duration::from_millis(kind.aim_ms),
                 left: Duration::from_millis(kind.left_ms),
                 run,
                 expected: run,
--- a/crates/policy/tests/patience_replay.rs
+++ b/crates/policy/tests/patience_replay.rs
@@ -57,7 +57,7 @@
             let client_timeouts = Duration::from_millis(rng.random_range(4_250..=5_000));
             let is_again = rng.random_bool(case.again);
             let lost = if is_again { case.passed_ms } else { 0 };
-            let told = record.note(client_timeouts.saturating_sub(Duration::from_millis(lost)));
+            let told = record.record(client_timeouts.saturating_sub(Duration::from_millis(lost)));
             let sum = if is_again { &mut again } else { &mut first };
             sum.0 += told.as_secs_f64() * 1_000.0;
             sum.1 += 1.0;
@@ -76,8 +76,8 @@
 fn alike_callers_tell_exactly_what_has_passed() {
     let mut record = ClientTimeouts::default();
     for _ in 0..20 {
-        assert_eq!(record.note(Duration::from_secs(1)), Duration::ZERO);
+        assert_eq!(record.record(Duration::from_secs(1)), Duration::ZERO);
     }
-    let told = record.note(Duration::from_millis(640));
+    let told = record.record(Duration::from_millis(640));
     assert_eq!(told, Duration::from_millis(360));
 }
--- a/crates/policy/tests/placement_replay.rs
+++ b/crates/policy/tests/placement_replay.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use filbert_policy::placement::{assumed_occupancy, choose, CallShape, CrossingCost, TargetView};
-use filbert_policy::refusal::come_back_after;
+use filbert_policy::refusal::retry_after;
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 use rstest::rstest;
@@ -257,7 +257,7 @@
     let room = Duration::from_millis(200);
     let left = Duration::from_secs(3);
     let returns: Vec<Duration> = (0..=100)
-        .map(|step| come_back_after(room, left, f64::from(step) / 100.0))
+        .map(|step| retry_after(room, left, f64::from(step) / 100.0))
         .collect();
     let (first, last) = (returns[0], returns[100]);
     assert!(
@@ -265,6 +265,6 @@
         "{first:?} to {last:?}"
     );
     assert!(last <= left / 3);
-    let hurried = come_back_after(Duration::from_secs(9), Duration::from_millis(300), 0.5);
+    let hurried = retry_after(Duration::from_secs(9), Duration::from_millis(300), 0.5);
     assert!(hurried <= Duration::from_millis(100));
 }
--- a/crates/policy/tests/refusal_replay.rs
+++ b/crates/policy/tests/refusal_replay.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use filbert_policy::refusal::come_back_to_shedding;
+use filbert_policy::refusal::retry_after_shedding;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -31,7 +31,7 @@
                 break;
             }
             passed += REJECTED_AFTER;
-            passed += come_back_to_shedding(RUN, DEADLINE.saturating_sub(passed), rng.random());
+            passed += retry_after_shedding(RUN, DEADLINE.saturating_sub(passed), rng.random());
         }
     }
     let share = f64::from(in_time) / f64::from(CALLS);
--- a/crates/policy/tests/run_time_cases.rs
+++ b/crates/policy/tests/run_time_cases.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use filbert_policy::run_times::{RunTime, RunTimes};
+use filbert_policy::run_times::{RunTime, RunTimeEstimator};
 use rstest::rstest;
 
 const LOOKUP: Duration = Duration::from_millis(30);
@@ -10,7 +10,7 @@
 
 /// What a kind usually takes.
 fn usual(mean: Duration) -> RunTime {
-    RunTime::of_unknown_spread(mean)
+    RunTime::exponential(mean)
 }
 
 fn is_near(time: Duration, wanted: Duration) -> bool {
@@ -22,10 +22,10 @@
 /// waits for it fails.
 #[test]
 fn a_slow_kind_does_not_make_a_short_one_look_slow() {
-    let mut times = RunTimes::default();
+    let mut times = RunTimeEstimator::default();
     for _ in 0..50 {
-        times.note("lookup", Some(usual(LOOKUP)), LOOKUP);
-        times.note("report", Some(usual(REPORT)), REPORT);
+        times.record("lookup", Some(usual(LOOKUP)), LOOKUP);
+        times.record("report", Some(usual(REPORT)), REPORT);
     }
     let lookup = times.expect("lookup", Some(usual(LOOKUP))).mean;
     let report = times.expect("report", Some(usual(REPORT))).mean;
@@ -38,7 +38,7 @@
 struct NewKindCase {
     story: &'static str,
     /// How much slower than usual its other runs were.
-    pace: f64,
+    slowdown: f64,
     usual: Option<RunTime>,
     expected: Duration,
 }
@@ -46,20 +46,20 @@
 #[rstest]
 #[case(NewKindCase {
     story: "judged by what it usually takes",
-    pace: 1.0, usual: Some(usual(LOOKUP)), expected: LOOKUP,
+    slowdown: 1.0, usual: Some(usual(LOOKUP)), expected: LOOKUP,
 })]
 #[case(NewKindCase {
     story: "at a target that is three times as slow",
-    pace: 3.0, usual: Some(usual(LOOKUP)), expected: Duration::from_millis(90),
+    slowdown: 3.0, usual: Some(usual(LOOKUP)), expected: Duration::from_millis(90),
 })]
 #[case(NewKindCase {
     story: "by the other runs where nothing is known",
-    pace: 1.0, usual: None, expected: REPORT,
+    slowdown: 1.0, usual: None, expected: REPORT,
 })]
 fn a_new_kind_is_judged_by_pace(#[case] case: NewKindCase) {
-    let mut times = RunTimes::default();
+    let mut times = RunTimeEstimator::default();
     for _ in 0..120 {
-        times.note("report", Some(usual(REPORT)), REPORT.mul_f64(case.pace));
+        times.record("report", Some(usual(REPORT)), REPORT.mul_f64(case.slowdown));
     }
     let mean = times.expect("lookup", case.usual).mean;
     assert!(is_near(mean, case.expected), "{}: {mean:?}", case.story);
@@ -75,12 +75,12 @@
     #[case] millis: &[u64],
     #[case] at_most: f64,
 ) {
-    let mut times = RunTimes::default();
+    let mut times = RunTimeEstimator::default();
     let runs: Vec<Duration> = (0..40)
         .flat_map(|_| millis.iter().map(|ms| Duration::from_millis(*ms)))
         .collect();
     for run in &runs {
-        times.note("kind", None, *run);
+        times.record("kind", None, *run);
     }
     let time = times.expect("kind", None);
     let within = runs.iter().filter(|run| **run <= time.most()).count();
@@ -95,10 +95,10 @@
 /// and a kind in use must not be forgotten for one that is not.
 #[test]
 fn forgotten_kinds_make_room() {
-    let mut times = RunTimes::default();
+    let mut times = RunTimeEstimator::default();
     for number in 0..2_000 {
-        times.note("report", Some(usual(REPORT)), REPORT);
-        times.note(&format!("kind-{number}"), Some(usual(LOOKUP)), LOOKUP);
+        times.record("report", Some(usual(REPORT)), REPORT);
+        times.record(&format!("kind-{number}"), Some(usual(LOOKUP)), LOOKUP);
     }
     assert!(is_near(times.expect("report", None).mean, REPORT));
     let forgotten = times.expect("kind-0", None).mean;
--- a/crates/policy/tests/support/gate.rs
+++ b/crates/policy/tests/support/gate.rs
@@ -4,7 +4,8 @@
 use std::time::{Duration, Instant};
 
 use filbert_policy::admission::{
-    CallDemand, GateQueue, GateVerdict, LinkTime, WaitEnd, WaitLimits, WaitTicket,
+    AdmissionDecision, AdmissionQueue, AdmissionRequest, LinkTime, QueueLimits, WaitOutcome,
+    WaitTicket,
 };
 use filbert_policy::run_times::RunTime;
 
@@ -12,8 +13,8 @@
 pub const SLOTS: u32 = 9;
 
 /// An open gate with nothing at it.
-pub fn open_gate() -> GateQueue {
-    let mut queue = GateQueue::new(WaitLimits::default());
+pub fn open_gate() -> AdmissionQueue {
+    let mut queue = AdmissionQueue::new(QueueLimits::default());
     queue.set_slots(SLOTS);
     queue.set_open(true);
     queue
@@ -24,7 +25,7 @@
 pub struct LoadCall {
     pub at: Duration,
     pub priority: u8,
-    pub aim: Duration,
+    pub soft_deadline: Duration,
     pub left: Duration,
     /// How long it takes.
     pub run: Duration,
@@ -63,26 +64,26 @@
             until > now
         });
         for call in ended {
-            queue.finished();
+            queue.finish_run();
             fates[call] = CallFate::Answered {
                 took: now.saturating_sub(calls[call].at),
             };
         }
         while next < calls.len() && calls[next].at <= now {
             let call = calls[next];
-            let demand = CallDemand {
+            let demand = AdmissionRequest {
                 priority: call.priority,
-                aim: start + call.at + call.aim,
+                soft_deadline: start + call.at + call.soft_deadline,
                 deadline: start + call.at + call.left,
-                run: RunTime::of_unknown_spread(call.expected),
+                run: RunTime::exponential(call.expected),
                 link: LinkTime::default(),
             };
             match queue.offer(demand, turn(calls, &running), start + now) {
-                GateVerdict::Run => running.push((now + call.run, next)),
-                GateVerdict::Wait(ticket) => {
+                AdmissionDecision::Run => running.push((now + call.run, next)),
+                AdmissionDecision::Wait(ticket) => {
                     waiting.insert(ticket, next);
                 }
-                GateVerdict::Decline { .. } => {
+                AdmissionDecision::Decline { .. } => {
                     fates[next] = CallFate::Declined {
                         held: now.saturating_sub(call.at),
                     };
@@ -90,13 +91,13 @@
             }
             next += 1;
         }
-        for end in queue.settle(turn(calls, &running), start + now) {
+        for end in queue.dispatch(turn(calls, &running), start + now) {
             match end {
-                WaitEnd::Run(ticket) => {
+                WaitOutcome::Run(ticket) => {
                     let call = waiting.remove(&ticket).expect("it waited");
                     running.push((now + calls[call].run, call));
                 }
-                WaitEnd::Decline { ticket, .. } => {
+                WaitOutcome::Decline { ticket, .. } => {
                     let call = waiting.remove(&ticket).expect("it waited");
                     fates[call] = CallFate::Declined {
                         held: now.saturating_sub(calls[call].at),
