--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -1,9 +1,10 @@
-//! Which calls a target runs, which wait in the daemon in front of it, and
-//! which are turned away at once.
+//! Admission control for one target: decides which calls run now, which wait in
+//! the daemon's queue, and which are declined.
 //!
-//! The daemon is the only way to its target, so it knows exactly what runs.
-//! It keeps as many calls at the target as the target has slots and lets the
-//! rest wait here, where they can be put in order, cancelled and timed out.
+//! All calls to a target pass through the daemon on its host, so the daemon
+//! knows exactly which calls run there. It sends the target at most as many
+//! calls as the target has slots. The other calls wait in the daemon, where
+//! they can be reordered, cancelled and timed out.
 
 mod order;
 mod wait;
@@ -16,28 +17,27 @@
 
 use crate::run_times::RunTime;
 
-/// A call at the gate.
+/// What admission control needs to know of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionRequest {
-    /// Rank of the call; 0 goes first.
+    /// Priority of the call; 0 is the most urgent.
     pub priority: u8,
-    /// Until when an answer is worth most.
+    /// Time after which an answer loses part of its value.
     pub soft_deadline: Instant,
-    /// Until when an answer is worth anything.
+    /// Time after which an answer is worthless.
     pub deadline: Instant,
-    /// How long its run is expected to take here.
+    /// Expected run time of the call at this target.
     pub run: RunTime,
-    /// Time that its answer waits for the host's link, behind others', and
-    /// that it takes there.
+    /// Time that the call's answer needs on the host's network link.
     pub link: LinkTime,
 }
 
-/// Time of an answer on the host's link.
+/// Time that an answer needs on the host's network link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkTime {
-    /// Behind other answers, beyond a usual run.
+    /// Time spent behind other answers, less the expected run time of the call.
     pub wait: Duration,
-    /// On the way out.
+    /// Time to transmit the answer.
     pub send: Duration,
 }
 
@@ -47,87 +47,94 @@
     }
 }
 
-/// Names a waiting call.
+/// Identifies a waiting call within one [`AdmissionQueue`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct WaitTicket(u64);
 
-/// Why a call was turned away.
+/// Why a call was declined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeclineReason {
-    /// Too much is ahead of it for an answer in time.
+    /// The calls or answers ahead of it leave no time for its answer, or the
+    /// queue is full.
     Crowded,
-    /// The target takes no work: it leaves, or it is not there.
+    /// The target takes no calls: it is shutting down or absent.
     Closed,
 }
 
-/// What becomes of a call at the gate.
+/// What admission control decides for a new call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It runs now.
+    /// The call runs now.
     Run,
-    /// It waits.
+    /// The call waits in the queue.
     Wait(WaitTicket),
-    /// It is turned away, with the time after which room is expected.
+    /// The call is declined.
     Decline {
-        /// Why.
+        /// Why the call was declined.
         reason: DeclineReason,
-        /// When room is expected.
+        /// Time until capacity for the call is expected.
         room_in: Duration,
     },
 }
 
-/// What became of calls that waited.
+/// How the wait of a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitOutcome {
-    /// It runs now.
+    /// The call runs now.
     Run(WaitTicket),
-    /// It can no longer be answered in time.
+    /// The call is declined: waiting longer is no longer worthwhile, or the
+    /// queue was emptied.
     Decline {
-        /// The call.
+        /// The declined call.
         ticket: WaitTicket,
-        /// When room is expected.
+        /// Time until capacity for a new call is expected.
         room_in: Duration,
     },
 }
 
-/// Limits of waiting.
+/// Limits on the length of an [`AdmissionQueue`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueueLimits {
-    /// Calls that may wait for each slot. More than a handful is never worked
-    /// off within the aim; the limit bounds memory when every call is patient.
-    pub per_slot: u32,
+    /// Maximum number of waiting calls per slot. It bounds memory when all calls
+    /// have long deadlines. A longer queue is useless, because a slot never
+    /// completes more than a few calls within their soft deadlines.
+    pub max_waiting_per_slot: u32,
 }
 
 impl Default for QueueLimits {
     fn default() -> Self {
-        QueueLimits { per_slot: 6 }
+        QueueLimits {
+            max_waiting_per_slot: 6,
+        }
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 struct WaitingCall {
     ticket: WaitTicket,
-    demand: AdmissionRequest,
-    since: Instant,
-    /// Whether its aim was taken for lost when it came.
-    is_filler: bool,
+    request: AdmissionRequest,
+    enqueued_at: Instant,
+    /// Whether the call was expected to miss its soft deadline when it arrived.
+    is_likely_late: bool,
 }
 
 impl WaitingCall {
     fn order(&self, now: Instant) -> CallOrder {
-        CallOrder::of(&self.demand, self.is_filler, now)
+        CallOrder::of(&self.request, self.is_likely_late, now)
     }
 }
 
-/// The queue in front of one target.
+/// The admission queue of one target.
+///
+/// A call is accepted if the calls ahead of it leave time to answer it before
+/// its soft deadline. A call that is likely to miss its soft deadline waits only
+/// if the queue is expected to drain soon, or if its run is short compared with
+/// the other runs at the target. Waiting calls start in order of run time
+/// weighted by priority, then by the deadline that they can still meet.
 ///
-/// Load pattern: more calls than the target can run, for seconds. Were all to
-/// wait, each would wait as long as the queue is and all would be late. So a
-/// call is taken if what is ahead of it leaves time to answer within its aim.
-/// One that is likely late waits only in a crowd that is soon worked off, or
-/// where it is short for what runs there. The waiting are run by the slot time
-/// that they take for what they are worth, then by the time at which they must
-/// start.
+/// Load pattern: for seconds, more calls arrive than the target can run. If all
+/// of them waited, every wait would grow with the queue and all answers would
+/// be late.
 #[derive(Debug)]
 pub struct AdmissionQueue {
     limits: QueueLimits,
@@ -136,11 +143,11 @@
     waiting: Vec<WaitingCall>,
     next_ticket: u64,
     is_open: bool,
-    load: OfferedLoad,
+    offered_load: OfferedLoad,
 }
 
 impl AdmissionQueue {
-    /// A closed gate with nothing at it.
+    /// Creates an empty queue that is closed for new calls.
     #[must_use]
     pub fn new(limits: QueueLimits) -> AdmissionQueue {
         AdmissionQueue {
@@ -150,164 +157,173 @@
             waiting: Vec::new(),
             next_ticket: 0,
             is_open: false,
-            load: OfferedLoad::default(),
+            offered_load: OfferedLoad::default(),
         }
     }
 
-    /// Sets how many calls the target runs at once.
+    /// Sets the number of calls that the target runs at once, at least 1.
     pub fn set_slots(&mut self, slots: u32) {
         self.slots = slots.max(1);
     }
 
-    /// Opens or closes the gate for new calls; those that wait stay.
+    /// Opens or closes the queue for new calls. Waiting calls stay in it.
     pub fn set_open(&mut self, is_open: bool) {
         self.is_open = is_open;
     }
 
-    /// Whether new calls are taken.
+    /// Returns whether new calls are accepted.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.is_open
     }
 
-    /// Calls at the target.
+    /// Number of calls that run at the target.
     #[must_use]
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Calls that wait.
+    /// Number of waiting calls.
     #[must_use]
     pub fn waiting(&self) -> u32 {
         u32::try_from(self.waiting.len()).unwrap_or(u32::MAX)
     }
 
-    /// Slots of the target.
+    /// Number of calls that the target runs at once.
     #[must_use]
     pub fn slots(&self) -> u32 {
         self.slots
     }
 
-    /// Time until a call starts behind calls that take `ahead` together, if
-    /// those at the target take `turn`.
-    fn wait_behind(&self, ahead: Duration, turn: Duration) -> Duration {
+    /// Expected time until a call starts behind waiting calls whose run times
+    /// add up to `ahead`, where `mean_run` is the mean run time of the calls at
+    /// the target.
+    fn wait_behind(&self, ahead: Duration, mean_run: Duration) -> Duration {
         if self.running < self.slots && ahead.is_zero() {
             return Duration::ZERO;
         }
-        (turn + ahead) / self.slots
+        (mean_run + ahead) / self.slots
     }
 
-    /// When a newcomer of the lowest rank could start, if calls at the target
-    /// take `turn`.
+    /// Expected time until a new call of the lowest priority could start, where
+    /// `mean_run` is the mean run time of the calls at the target.
     #[must_use]
-    pub fn room_in(&self, turn: Duration) -> Duration {
-        let ahead = self.waiting.iter().map(|call| call.demand.run.mean).sum();
-        self.wait_behind(ahead, turn)
+    pub fn room_in(&self, mean_run: Duration) -> Duration {
+        let ahead = self.waiting.iter().map(|call| call.request.run.mean).sum();
+        self.wait_behind(ahead, mean_run)
     }
 
-    /// Takes a call, if those at the target take `turn`.
+    /// Decides whether a new call runs, waits or is declined, where `mean_run`
+    /// is the mean run time of the calls at the target.
     pub fn offer(
         &mut self,
-        demand: AdmissionRequest,
-        turn: Duration,
+        request: AdmissionRequest,
+        mean_run: Duration,
         now: Instant,
     ) -> AdmissionDecision {
         if !self.is_open {
             return AdmissionDecision::Decline {
                 reason: DeclineReason::Closed,
-                room_in: turn,
+                room_in: mean_run,
             };
         }
-        self.load.record(&demand, self.slots, now);
+        self.offered_load.record(&request, self.slots, now);
         if self.running < self.slots && self.waiting.is_empty() {
-            // Guards against work whose answer the host's link cannot carry in
-            // time: with free slots alone to go by, answers of 90 KB pile up
-            // in front of a link of 7.5 Mbit/s until all of them are late.
-            let at_once = ExpectedWait::none(turn);
-            let has_link = demand.link.wait.is_zero()
-                || at_once.meets_aim(&demand, now)
-                || at_once.fits_in(&demand, now);
-            if !has_link {
+            // Declines a call whose answer the host's link cannot transmit in
+            // time, even if a slot is free. Otherwise answers of 90 KB queue
+            // up for a link of 7.5 Mbit/s until all of them are late.
+            let no_wait = ExpectedWait::none(mean_run);
+            let link_has_capacity = request.link.wait.is_zero()
+                || no_wait.meets_soft_deadline(&request, now)
+                || no_wait.is_worth_queueing(&request, now);
+            if !link_has_capacity {
                 return AdmissionDecision::Decline {
                     reason: DeclineReason::Crowded,
-                    room_in: demand.link.wait,
+                    room_in: request.link.wait,
                 };
             }
             self.running += 1;
             return AdmissionDecision::Run;
         }
-        let at_best = self.wait_as(&demand, false, turn, now);
-        let is_filler = !at_best.meets_aim(&demand, now);
-        let most = (self.limits.per_slot * self.slots) as usize;
-        let is_in_vain = is_filler && !self.wait_as(&demand, true, turn, now).fits_in(&demand, now);
-        if is_in_vain || self.waiting.len() >= most {
+        let on_time_wait = self.expected_wait_of(&request, false, mean_run, now);
+        let is_likely_late = !on_time_wait.meets_soft_deadline(&request, now);
+        let max_waiting = (self.limits.max_waiting_per_slot * self.slots) as usize;
+        let is_futile = is_likely_late
+            && !self
+                .expected_wait_of(&request, true, mean_run, now)
+                .is_worth_queueing(&request, now);
+        if is_futile || self.waiting.len() >= max_waiting {
             return AdmissionDecision::Decline {
                 reason: DeclineReason::Crowded,
-                room_in: self.room_in(turn),
+                room_in: self.room_in(mean_run),
             };
         }
         let ticket = WaitTicket(self.next_ticket);
         self.next_ticket += 1;
         self.waiting.push(WaitingCall {
             ticket,
-            demand,
-            since: now,
-            is_filler,
+            request,
+            enqueued_at: now,
+            is_likely_late,
         });
         AdmissionDecision::Wait(ticket)
     }
 
-    /// The wait of `demand`, as a filler or not.
-    fn wait_as(
+    /// Expected wait of a new call, ordered as likely late or not.
+    fn expected_wait_of(
         &self,
-        demand: &AdmissionRequest,
-        is_filler: bool,
-        turn: Duration,
+        request: &AdmissionRequest,
+        is_likely_late: bool,
+        mean_run: Duration,
         now: Instant,
     ) -> ExpectedWait {
-        let order = CallOrder::of(demand, is_filler, now);
+        let order = CallOrder::of(request, is_likely_late, now);
         let ahead = self
             .waiting
             .iter()
             .filter(|other| other.order(now) <= order)
-            .map(|other| other.demand.run.mean)
+            .map(|other| other.request.run.mean)
             .sum();
-        self.expected_wait(ahead, order, turn, now)
+        self.expected_wait(ahead, order, mean_run, now)
     }
 
-    /// The wait behind calls that take `ahead` together.
+    /// Expected wait behind waiting calls whose run times add up to `ahead`.
     fn expected_wait(
         &self,
         ahead: Duration,
         order: CallOrder,
-        turn: Duration,
+        mean_run: Duration,
         now: Instant,
     ) -> ExpectedWait {
-        let plain = self.wait_behind(ahead, turn);
-        ExpectedWait::among(plain, self.load.before(order, now), turn)
+        let without_arrivals = self.wait_behind(ahead, mean_run);
+        ExpectedWait::under_load(
+            without_arrivals,
+            self.offered_load.ahead_of(order, now),
+            mean_run,
+        )
     }
 
-    /// Takes back a call that waits; false when it does not wait (any more).
+    /// Removes a waiting call. Returns false if the call is not in the queue.
     pub fn cancel(&mut self, ticket: WaitTicket) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|call| call.ticket != ticket);
         before != self.waiting.len()
     }
 
-    /// Counts the end of a run.
+    /// Frees the slot of a call that ran.
     pub fn finish_run(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Starts what can start and turns away what can no longer be answered in
-    /// time. To be called after each change and from time to time.
-    /// Calls at the target take `turn`.
-    pub fn dispatch(&mut self, turn: Duration, now: Instant) -> Vec<WaitOutcome> {
+    /// Starts waiting calls in free slots and declines calls that are no longer
+    /// worth keeping, where `mean_run` is the mean run time of the calls at the
+    /// target. Must be called after each change and periodically.
+    pub fn dispatch(&mut self, mean_run: Duration, now: Instant) -> Vec<WaitOutcome> {
         let mut ends = Vec::new();
-        self.turn_away_late(turn, now, &mut ends);
-        // Sorted by now: the first goes first.
-        let room = self.slots.saturating_sub(self.running) as usize;
-        let starting = room.min(self.waiting.len());
+        self.decline_late(mean_run, now, &mut ends);
+        // `decline_late` left the waiting calls in the order in which they start.
+        let free_slots = self.slots.saturating_sub(self.running) as usize;
+        let starting = free_slots.min(self.waiting.len());
         for call in self.waiting.drain(..starting) {
             self.running += 1;
             ends.push(WaitOutcome::Run(call.ticket));
@@ -315,19 +331,20 @@
         ends
     }
 
-    /// Guards against calls held until their aim is lost and then turned away
-    /// all the same, as when more urgent ones came behind them: a call is told
-    /// as soon as what is now ahead of it leaves no time.
-    fn turn_away_late(&mut self, turn: Duration, now: Instant, ends: &mut Vec<WaitOutcome>) {
-        let room_in = self.room_in(turn);
+    /// Sorts the waiting calls and declines each call as soon as the calls ahead
+    /// of it leave it no time. Otherwise a call that more urgent calls have
+    /// overtaken would be held until its soft deadline and then be declined
+    /// anyway.
+    fn decline_late(&mut self, mean_run: Duration, now: Instant, ends: &mut Vec<WaitOutcome>) {
+        let room_in = self.room_in(mean_run);
         self.waiting
             .sort_by_key(|call| (call.order(now), call.ticket));
         let mut kept = Vec::with_capacity(self.waiting.len());
         let mut ahead = Duration::ZERO;
         for call in std::mem::take(&mut self.waiting) {
-            let wait = self.expected_wait(ahead, call.order(now), turn, now);
-            if wait.is_worth_staying(&call.demand, call.since, now) {
-                ahead += call.demand.run.mean;
+            let wait = self.expected_wait(ahead, call.order(now), mean_run, now);
+            if wait.is_worth_keeping(&call.request, call.enqueued_at, now) {
+                ahead += call.request.run.mean;
                 kept.push(call);
             } else {
                 ends.push(WaitOutcome::Decline {
@@ -339,13 +356,13 @@
         self.waiting = kept;
     }
 
-    /// Turns away all that wait, as when the target is gone.
-    pub fn decline_all(&mut self, turn: Duration) -> Vec<WaitOutcome> {
+    /// Declines all waiting calls, for example after the target has gone.
+    pub fn decline_all(&mut self, mean_run: Duration) -> Vec<WaitOutcome> {
         self.waiting
             .drain(..)
             .map(|call| WaitOutcome::Decline {
                 ticket: call.ticket,
-                room_in: turn,
+                room_in: mean_run,
             })
             .collect()
     }
--- a/crates/policy/src/admission/order.rs
+++ b/crates/policy/src/admission/order.rs
@@ -1,98 +1,110 @@
-//! Which of the calls that wait at a target goes first.
+//! The order in which a target's waiting calls start, and the load offered to the
+//! target by position in that order.
 
 use std::time::{Duration, Instant};
 
 use super::AdmissionRequest;
 use crate::numbers::whole_of;
 
-/// Where a call stands among those that wait; the least goes first.
+/// Sort key of a waiting call; the call with the least key starts first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CallOrder {
-    /// Slot time that it takes for what it is worth, in quarters of a doubling.
+    /// Logarithm of the run time weighted by priority, in steps of
+    /// [`COST_STEPS_PER_DOUBLING`].
     cost: u64,
-    /// Whether its aim is lost.
+    /// Whether the call is expected to miss its soft deadline.
     is_late: bool,
-    /// When it must start.
-    by: Instant,
+    /// The soft deadline, or the deadline if the call is late.
+    due: Instant,
 }
 
-/// Quarters of a doubling in [`CallOrder::cost`]: fine enough to keep ranks
-/// apart, coarse enough that calls of one kind go by their time.
-const QUARTERS: f64 = 4.0;
-/// Doublings that each rank counts for.
-const RANK_DOUBLINGS: f64 = 1.0;
+/// Steps of [`CallOrder::cost`] per doubling of the run time. Four steps keep
+/// priorities apart, but are coarse enough that calls of one kind compare equal
+/// and start in order of their deadlines.
+const COST_STEPS_PER_DOUBLING: f64 = 4.0;
+/// Doublings of the run time that one level of priority is equivalent to.
+const DOUBLINGS_PER_PRIORITY: f64 = 1.0;
 
 impl CallOrder {
-    /// The order in which calls run: by the slot time that they take for what
-    /// they are worth, then by the moment at which they must start.
+    /// Creates the sort key of a call. Calls start by run time weighted by
+    /// priority, then calls that are not late first, then by deadline. One level
+    /// of priority weighs as much as a doubling of the run time.
     ///
-    /// Load pattern: a service runs lookups of 30 ms, made by runs elsewhere
-    /// that wait for them, beside calls of 140 ms that are more urgent. Each
-    /// lookup that is put behind the others until it is late costs a run
-    /// elsewhere, which took more slot time than the lookup would have. A
-    /// rank counts for a doubling of the slot time.
-    pub(super) fn of(demand: &AdmissionRequest, is_filler: bool, now: Instant) -> CallOrder {
-        let is_late = is_filler || now + demand.run.mean.mul_f64(0.5) > demand.soft_deadline;
-        let run_ms = (demand.run.mean.as_secs_f64() * 1_000.0).max(1.0);
-        let doublings = run_ms.log2() + f64::from(demand.priority) * RANK_DOUBLINGS;
+    /// Load pattern: a service runs lookups of 30 ms, on which calls at other
+    /// targets depend, beside more urgent calls of 140 ms. If the urgent calls
+    /// always went first, lookups would be late, and each late lookup would fail
+    /// a call at another target that has used more slot time than the lookup
+    /// needs.
+    pub(super) fn of(request: &AdmissionRequest, is_likely_late: bool, now: Instant) -> CallOrder {
+        let is_late = is_likely_late || now + request.run.mean.mul_f64(0.5) > request.soft_deadline;
+        let run_ms = (request.run.mean.as_secs_f64() * 1_000.0).max(1.0);
+        let doublings = run_ms.log2() + f64::from(request.priority) * DOUBLINGS_PER_PRIORITY;
         CallOrder {
-            cost: whole_of(doublings * QUARTERS),
+            cost: whole_of(doublings * COST_STEPS_PER_DOUBLING),
             is_late,
-            by: if is_late {
-                demand.deadline
+            due: if is_late {
+                request.deadline
             } else {
-                demand.soft_deadline
+                request.soft_deadline
             },
         }
     }
 
-    /// The step of [`OfferedLoad`] that it is counted in.
-    fn step(self) -> usize {
-        usize::try_from(self.cost / whole_of(QUARTERS)).unwrap_or(STEPS)
+    /// Index of the [`OfferedLoad`] bucket that counts the call. It may exceed
+    /// the last bucket.
+    fn bucket(self) -> usize {
+        usize::try_from(self.cost / whole_of(COST_STEPS_PER_DOUBLING)).unwrap_or(BUCKETS)
     }
 }
 
-/// Steps told apart in [`OfferedLoad`], a doubling each; those beyond count as
-/// the last. A run of 16 s at the first rank, or of 1 s at the fifth.
-const STEPS: usize = 15;
-/// Time constant of [`OfferedLoad`]: a few waits long, so that it tells a
-/// lasting overload from a moment's crowd.
-const LOAD_OVER: Duration = Duration::from_secs(1);
-/// Share of the slots that calls want, of late, by where they stand.
+/// Number of buckets in [`OfferedLoad`]. Each bucket covers one doubling of the
+/// cost, and the last one also counts all higher costs, such as runs of 16 s at
+/// the first priority or of 1 s at the fifth.
+const BUCKETS: usize = 15;
+/// Time constant of the decay of [`OfferedLoad`]. It spans a few waits, so that
+/// the load distinguishes a lasting overload from a short burst.
+const LOAD_TIME_CONSTANT: Duration = Duration::from_secs(1);
+/// Recent load offered to the target, as a share of its slots, by the cost of
+/// the calls.
 ///
-/// Load pattern: more calls than slots for seconds. A late call that waits
-/// behind those whose aim can be met waits for ever, as more of them come, and
-/// is turned away in the end with no time left. By the load it is told at
-/// once; in a crowd of a moment it waits and is served.
+/// Load pattern: for seconds, more calls arrive than there are slots. A late
+/// call behind calls that can still meet their soft deadlines is overtaken by
+/// each new one of them, and would be declined in the end with no time left.
+/// The offered load shows this when the call arrives, so that it is declined at
+/// once; in a short burst it waits and is answered.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct OfferedLoad {
-    steps: [f64; STEPS],
-    at: Option<Instant>,
+    buckets: [f64; BUCKETS],
+    updated_at: Option<Instant>,
 }
 
 impl OfferedLoad {
-    fn fade(&self, now: Instant) -> f64 {
-        let passed = self
-            .at
-            .map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        (-passed.as_secs_f64() / LOAD_OVER.as_secs_f64()).exp()
+    /// Factor by which the shares have decayed since the last update.
+    fn decay(&self, now: Instant) -> f64 {
+        let elapsed = self.updated_at.map_or(Duration::ZERO, |updated_at| {
+            now.saturating_duration_since(updated_at)
+        });
+        (-elapsed.as_secs_f64() / LOAD_TIME_CONSTANT.as_secs_f64()).exp()
     }
 
-    pub(super) fn record(&mut self, demand: &AdmissionRequest, slots: u32, now: Instant) {
-        let fade = self.fade(now);
-        for share in &mut self.steps {
-            *share *= fade;
+    /// Counts a new call for a target with `slots` slots.
+    pub(super) fn record(&mut self, request: &AdmissionRequest, slots: u32, now: Instant) {
+        let decay = self.decay(now);
+        for share in &mut self.buckets {
+            *share *= decay;
         }
-        self.at = Some(now);
-        let share = demand.run.mean.as_secs_f64() / LOAD_OVER.as_secs_f64() / f64::from(slots);
-        let step = CallOrder::of(demand, false, now).step();
-        self.steps[step.min(STEPS - 1)] += share;
+        self.updated_at = Some(now);
+        let share =
+            request.run.mean.as_secs_f64() / LOAD_TIME_CONSTANT.as_secs_f64() / f64::from(slots);
+        let bucket = CallOrder::of(request, false, now).bucket();
+        self.buckets[bucket.min(BUCKETS - 1)] += share;
     }
 
-    /// Share that calls before `order` want; before a late call those that
-    /// stand with it and are not late.
-    pub(super) fn before(&self, order: CallOrder, now: Instant) -> f64 {
-        let steps = (order.step() + usize::from(order.is_late)).min(STEPS);
-        self.steps[..steps].iter().sum::<f64>() * self.fade(now)
+    /// Share of the slots requested by calls that start ahead of `order`. A late
+    /// call also starts behind the calls of its own bucket that are not late, so
+    /// that bucket counts as well.
+    pub(super) fn ahead_of(&self, order: CallOrder, now: Instant) -> f64 {
+        let buckets = (order.bucket() + usize::from(order.is_late)).min(BUCKETS);
+        self.buckets[..buckets].iter().sum::<f64>() * self.decay(now)
     }
 }
--- a/crates/policy/src/admission/wait.rs
+++ b/crates/policy/src/admission/wait.rs
@@ -1,124 +1,145 @@
-//! How long a call waits at a target, and whether that is worth it.
+//! The expected wait of a call in the admission queue, and whether the call is
+//! worth queueing or keeping.
 
 use std::time::{Duration, Instant};
 
 use super::AdmissionRequest;
 
-/// Part of the spread that must fit between the start of a call that waits
-/// already and its aim.
-const STAY_SPREAD: f64 = 0.5;
-/// Runs that must fit between the start of a call whose aim is lost and its
-/// deadline.
-const LATE_RUNS: f64 = 1.5;
-/// Part of a run that the answer to a call that is likely late may wait for
-/// the host's link: late answers would keep it from those that are in time.
-const LATE_LINK: f64 = 0.6;
-/// Part of the runs at the target that a short call with a lost aim may wait
-/// whatever else comes: a handful of slots end in that time.
-const SHORT_WAIT: f64 = 0.6;
-/// Part of the runs at the target up to which a call is short.
+/// Part of the mean deviation of the run time that must fit, besides the mean run
+/// time, between the start of a waiting call and its soft deadline.
+const KEPT_CALL_DEVIATIONS: f64 = 0.5;
+/// Mean run times that must fit between the start of a new call that is likely to
+/// miss its soft deadline and its deadline.
+const LATE_CALL_RUNS: f64 = 1.5;
+/// Maximum wait for the host's link, in mean run times of the call, for the answer
+/// to a call that is likely late. Beyond it, late answers would delay answers
+/// that are still in time.
+const MAX_LATE_LINK_WAIT_RUNS: f64 = 0.6;
+/// Wait that a short, likely late call is allowed whatever load arrives, in mean
+/// run times of the calls at the target. A few slots become free in that time.
+const SHORT_CALL_WAIT_RUNS: f64 = 0.6;
+/// Maximum run time of a short call, as a ratio of the mean run time of the calls at
+/// the target.
 pub const SHORT_RUN_RATIO: f64 = 0.5;
-/// Part of its time that a call that is likely late may wait: whoever is
-/// refused after that has little time left to come back.
-const LATE_HOLD: f64 = 0.5;
-/// The same of the time to its aim, while that lies ahead.
-const AIM_HOLD: f64 = 0.6;
+/// Maximum wait of a likely late call, as a ratio of the time from its arrival to
+/// its deadline. A caller that is refused later has little time left to retry.
+const MAX_LATE_WAIT_RATIO: f64 = 0.5;
+/// Maximum wait of a likely late call, as a ratio of the time from its arrival to
+/// its soft deadline. It applies if the call arrived before its soft deadline.
+const MAX_SOFT_DEADLINE_WAIT_RATIO: f64 = 0.6;
 
-/// Share of the slots above which the calls that go before are not counted.
-const MOST_BEFORE: f64 = 0.95;
+/// Upper bound of the load ahead of a call, as a share of the slots. It keeps the
+/// expected wait finite.
+const MAX_LOAD_AHEAD: f64 = 0.95;
 
-/// A wait that lies before a call.
+/// Expected wait of a call until it starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ExpectedWait {
-    /// If nothing else comes.
-    plain: Duration,
-    /// With the calls that come in the meantime and go before.
-    likely: Duration,
-    /// Mean time of the runs at the target.
-    turn: Duration,
+    /// Wait if no further calls arrive.
+    without_arrivals: Duration,
+    /// Wait including calls that are expected to arrive and start ahead of it.
+    with_arrivals: Duration,
+    /// Mean run time of the calls at the target.
+    mean_run: Duration,
 }
 
 impl ExpectedWait {
-    /// No wait at all.
-    pub(super) fn none(turn: Duration) -> ExpectedWait {
+    /// The wait of a call that starts immediately.
+    pub(super) fn none(mean_run: Duration) -> ExpectedWait {
         ExpectedWait {
-            plain: Duration::ZERO,
-            likely: Duration::ZERO,
-            turn,
+            without_arrivals: Duration::ZERO,
+            with_arrivals: Duration::ZERO,
+            mean_run,
         }
     }
 
-    /// A wait of `plain` where calls that go before take `share` of the slots:
-    /// it grows by that share's complement, as behind a queue with ranks.
-    pub(super) fn among(plain: Duration, share: f64, turn: Duration) -> ExpectedWait {
+    /// The wait where calls that arrive later and start first take `load_ahead` of
+    /// the slots. As in a priority queue, the wait without arrivals is divided by
+    /// the share of the slots that they leave.
+    pub(super) fn under_load(
+        without_arrivals: Duration,
+        load_ahead: f64,
+        mean_run: Duration,
+    ) -> ExpectedWait {
         ExpectedWait {
-            plain,
-            likely: plain.div_f64(1.0 - share.min(MOST_BEFORE)),
-            turn,
+            without_arrivals,
+            with_arrivals: without_arrivals.div_f64(1.0 - load_ahead.min(MAX_LOAD_AHEAD)),
+            mean_run,
         }
     }
 
-    /// Whether a call that waits so long is likely answered in time.
-    pub(super) fn meets_aim(&self, demand: &AdmissionRequest, now: Instant) -> bool {
-        now + self.likely + demand.run.most() + demand.link.total() <= demand.soft_deadline
+    /// Returns whether a call with this wait is likely to be answered by its soft
+    /// deadline.
+    pub(super) fn meets_soft_deadline(&self, request: &AdmissionRequest, now: Instant) -> bool {
+        now + self.with_arrivals + request.run.most() + request.link.total()
+            <= request.soft_deadline
     }
 
-    /// Whether a call that is likely late is worth its wait all the same.
-    pub(super) fn fits_in(&self, demand: &AdmissionRequest, now: Instant) -> bool {
-        let left = demand.deadline.saturating_duration_since(now);
-        let link = demand.link.total();
-        let run = demand.run.mean.mul_f64(LATE_RUNS);
-        if demand.link.wait > demand.run.mean.mul_f64(LATE_LINK) {
+    /// Returns whether a new call that is likely late is still worth queueing.
+    pub(super) fn is_worth_queueing(&self, request: &AdmissionRequest, now: Instant) -> bool {
+        let time_left = request.deadline.saturating_duration_since(now);
+        let link = request.link.total();
+        let run = request.run.mean.mul_f64(LATE_CALL_RUNS);
+        if request.link.wait > request.run.mean.mul_f64(MAX_LATE_LINK_WAIT_RUNS) {
             return false;
         }
-        if self.ends_in_time(demand, now, now) {
-            return self.likely + run + link <= left;
+        if self.starts_within_wait_limits(request, now, now) {
+            return self.with_arrivals + run + link <= time_left;
         }
-        self.plain + demand.link.wait <= self.short_wait(demand) && self.plain + run + link <= left
+        self.without_arrivals + request.link.wait <= self.short_call_wait(request)
+            && self.without_arrivals + run + link <= time_left
     }
 
-    /// How long a short call may wait at least.
+    /// Wait that a call is allowed if it is short; zero for other calls.
     ///
-    /// Load pattern: runs elsewhere wait for lookups of 30 ms at a target whose
-    /// other runs take 480 ms. Turned away, a lookup costs the run that waits
-    /// for it; let in, it takes a slot for a moment.
-    fn short_wait(&self, demand: &AdmissionRequest) -> Duration {
-        if demand.run.mean <= self.turn.mul_f64(SHORT_RUN_RATIO) {
-            self.turn.mul_f64(SHORT_WAIT)
+    /// Load pattern: calls at other targets depend on lookups of 30 ms at a target
+    /// whose other runs take 480 ms. Declining a lookup fails the call that
+    /// depends on it, whereas running it occupies a slot only briefly.
+    fn short_call_wait(&self, request: &AdmissionRequest) -> Duration {
+        if request.run.mean <= self.mean_run.mul_f64(SHORT_RUN_RATIO) {
+            self.mean_run.mul_f64(SHORT_CALL_WAIT_RUNS)
         } else {
             Duration::ZERO
         }
     }
 
-    /// Whether a call that waits since `since` still has a use for it. Milder
-    /// than for a newcomer, so that a call is not taken only to be turned away
-    /// when the next run takes a little longer than most.
-    pub(super) fn is_worth_staying(
+    /// Returns whether a call that has waited since `enqueued_at` is worth keeping
+    /// in the queue. The condition is weaker than for a new call, so that an
+    /// accepted call is not declined as soon as one run takes slightly longer
+    /// than expected.
+    pub(super) fn is_worth_keeping(
         &self,
-        demand: &AdmissionRequest,
-        since: Instant,
+        request: &AdmissionRequest,
+        enqueued_at: Instant,
         now: Instant,
     ) -> bool {
-        let run = demand.run.mean + demand.run.mean_deviation.mul_f64(STAY_SPREAD);
-        let rest = run + demand.link.send;
-        if now + self.likely + rest <= demand.soft_deadline {
+        let run = request.run.mean + request.run.mean_deviation.mul_f64(KEPT_CALL_DEVIATIONS);
+        let run_and_send = run + request.link.send;
+        if now + self.with_arrivals + run_and_send <= request.soft_deadline {
             return true;
         }
-        if now + self.plain + demand.run.mean + demand.link.send > demand.deadline {
+        if now + self.without_arrivals + request.run.mean + request.link.send > request.deadline {
             return false;
         }
-        self.ends_in_time(demand, since, now)
-            || now + self.plain <= since + self.short_wait(demand) * 2
+        self.starts_within_wait_limits(request, enqueued_at, now)
+            || now + self.without_arrivals <= enqueued_at + self.short_call_wait(request) * 2
     }
 
-    /// Whether the wait of a likely late call that came at `since` ends before
-    /// it has waited too long: for its aim if nothing else comes, and for all
-    /// its time with what is likely to.
-    fn ends_in_time(&self, demand: &AdmissionRequest, since: Instant, now: Instant) -> bool {
-        let had = demand.deadline.saturating_duration_since(since);
-        let to_aim = demand.soft_deadline.saturating_duration_since(since);
-        let start = now + demand.link.wait;
-        start + self.likely <= since + had.mul_f64(LATE_HOLD)
-            && (to_aim.is_zero() || start + self.plain <= since + to_aim.mul_f64(AIM_HOLD))
+    /// Returns whether a likely late call that arrived at `enqueued_at` starts
+    /// within both limits on its wait: [`MAX_LATE_WAIT_RATIO`] with the expected
+    /// arrivals, and [`MAX_SOFT_DEADLINE_WAIT_RATIO`] without arrivals.
+    fn starts_within_wait_limits(
+        &self,
+        request: &AdmissionRequest,
+        enqueued_at: Instant,
+        now: Instant,
+    ) -> bool {
+        let time_to_deadline = request.deadline.saturating_duration_since(enqueued_at);
+        let time_to_soft_deadline = request.soft_deadline.saturating_duration_since(enqueued_at);
+        let start = now + request.link.wait;
+        start + self.with_arrivals <= enqueued_at + time_to_deadline.mul_f64(MAX_LATE_WAIT_RATIO)
+            && (time_to_soft_deadline.is_zero()
+                || start + self.without_arrivals
+                    <= enqueued_at + time_to_soft_deadline.mul_f64(MAX_SOFT_DEADLINE_WAIT_RATIO))
     }
 }
