--- a/crates/policy/src/admission/wait.rs
+++ b/crates/policy/src/admission/wait.rs
@@ -71,8 +71,7 @@
     /// Returns whether a call with this wait is likely to be answered by its soft
     /// deadline.
     pub(super) fn meets_soft_deadline(&self, request: &AdmissionRequest, now: Instant) -> bool {
-        now + self.with_arrivals + request.run.most() + request.link.total()
-            <= request.soft_deadline
+        now + self.with_arrivals + request.run.p90() + request.link.total() <= request.soft_deadline
     }
 
     /// Returns whether a new call that is likely late is still worth queueing.
--- a/crates/policy/src/client_timeouts.rs
+++ b/crates/policy/src/client_timeouts.rs
@@ -1,46 +1,51 @@
-//! How long the callers of a route wait, and what that tells of one call.
+//! The timeouts that the callers of a route state with their calls, from which the
+//! time since a call was first tried is estimated.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Calls remembered of a route: at ten a second some 25 s, so that a burst of
-/// seconds, in which many calls are second tries, does not pass for the usual.
-const MOST_REMEMBERED: usize = 256;
-/// Part of the calls that wait less than what is taken as usual. Most calls are
-/// first tries; those of the least patient callers are below it by little.
-const USUAL_SHARE: usize = 4;
+/// Number of a route's latest calls that are recorded. At ten calls per second they
+/// cover about 25 s, so that a burst of a few seconds, in which many calls are
+/// retries, does not determine the estimate.
+const MAX_RECORDED_CALLS: usize = 256;
+/// One in this many recorded calls has a shorter timeout than the one taken as the
+/// timeout of a first try. Most calls are first tries, so the lower quartile is the
+/// timeout of a first try, and the shortest timeouts of first tries are only a
+/// little below it.
+const FIRST_TRY_TIMEOUT_DIVISOR: usize = 4;
 
-/// The times for which the callers of a route said that they would wait.
+/// Timeouts of the latest calls of a route.
 ///
-/// Load pattern: callers differ in how long they wait, by a seventh and more
-/// (4.3 to 5 s), and say so with each call. Those that were refused come back
-/// with less time left than they had. A call's aim counts from the first try,
-/// so what has passed since has to be told from that time alone. Told against
-/// the most patient caller, first tries look as if most of their aim were gone:
-/// gates put them behind others or turn them away.
+/// Load pattern: the timeouts of callers differ by a seventh and more (4.3 to 5 s).
+/// A caller that was refused retries with the time that it has left as the
+/// timeout. A call's soft deadline counts from its first try, so the time since
+/// the first try must be estimated from the timeout alone. If it were estimated
+/// against the longest timeout, first tries with shorter timeouts would appear to
+/// have used up most of the time to their soft deadlines, and admission control
+/// would put them behind other calls or decline them.
 #[derive(Clone, Debug, Default)]
 pub struct ClientTimeouts {
-    /// Waits in the order in which they came, in milliseconds.
+    /// Timeouts in order of arrival, in milliseconds.
     recent: VecDeque<u32>,
-    /// The same, the shortest first.
+    /// The same timeouts in ascending order.
     sorted: Vec<u32>,
 }
 
 impl ClientTimeouts {
-    /// Notes a call that waits `wait`, and gives the time that has likely passed
-    /// since its caller's first try.
-    pub fn record(&mut self, wait: Duration) -> Duration {
-        let wait_ms = u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
-        if self.recent.len() == MOST_REMEMBERED {
+    /// Records the timeout of a call and returns the estimated time since the call
+    /// was first tried.
+    pub fn record(&mut self, timeout: Duration) -> Duration {
+        let timeout_ms = u32::try_from(timeout.as_millis()).unwrap_or(u32::MAX);
+        if self.recent.len() == MAX_RECORDED_CALLS {
             if let Some(oldest) = self.recent.pop_front() {
-                let at = self.sorted.partition_point(|other| *other < oldest);
-                self.sorted.remove(at);
+                let index = self.sorted.partition_point(|other| *other < oldest);
+                self.sorted.remove(index);
             }
         }
-        self.recent.push_back(wait_ms);
-        let at = self.sorted.partition_point(|other| *other < wait_ms);
-        self.sorted.insert(at, wait_ms);
-        let usual_ms = self.sorted[self.sorted.len() / USUAL_SHARE];
-        Duration::from_millis(u64::from(usual_ms.saturating_sub(wait_ms)))
+        self.recent.push_back(timeout_ms);
+        let index = self.sorted.partition_point(|other| *other < timeout_ms);
+        self.sorted.insert(index, timeout_ms);
+        let first_try_ms = self.sorted[self.sorted.len() / FIRST_TRY_TIMEOUT_DIVISOR];
+        Duration::from_millis(u64::from(first_try_ms.saturating_sub(timeout_ms)))
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,17 +1,22 @@
-//! The daemon's decisions, apart from input and output: state in, verdict out,
-//! the clock handed in.
+//! The daemon's decision logic, without input or output: each function gets the
+//! state and the current time and returns a decision.
 //!
-//! A call is routed ([`routing`], [`weights`]), its time judged ([`client_timeouts`]), placed on a target
-//! ([`placement`]), admitted, made to wait or declined there ([`admission`]),
-//! sent again or given up ([`attempt`],
-//! [`budget`]), and refused with a time
-//! to come back ([`refusal`]). A call that ends the targets that run it is held
-//! back by its [`identity`] ([`quarantine`]). [`instance`] follows the life of the target
-//! beside the daemon, [`health`] and [`run_times`] what its calls say about
-//! it, [`egress`] paces answers on a slow link. [`membership`] plans which other
-//! hosts a daemon links to, and [`store_asking`] who asks the store when.
-//! [`organisations`] tells whose call it is, and whether it may run.
-//! [`rollout`] moves a service to another software version, or takes it back.
+//! - [`organisations`] finds the organisation that a call belongs to and checks
+//!   whether the organisation may run it.
+//! - [`routing`] and [`weights`] choose the service of a call.
+//! - [`client_timeouts`] estimates how long ago a call was first tried.
+//! - [`placement`] chooses a target of the service.
+//! - [`admission`] runs, queues or declines the call at the target.
+//! - [`attempt`] and [`budget`] decide whether the call is retried, and
+//!   [`refusal`] when a refused caller should retry.
+//! - [`quarantine`] holds back calls that crash their targets, recognised by
+//!   their [`identity`].
+//! - [`instance`] tracks the lifecycle of the target on the daemon's host, and
+//!   [`health`] and [`run_times`] its failures and run times.
+//! - [`egress`] paces answers on a slow network link.
+//! - [`membership`] plans the links to other hosts.
+//! - [`store_asking`] decides which daemon queries the store, and when.
+//! - [`rollout`] moves a service to another software version or rolls it back.
 
 pub mod admission;
 pub mod attempt;
--- a/crates/policy/src/refusal.rs
+++ b/crates/policy/src/refusal.rs
@@ -1,41 +1,42 @@
-//! When a refused caller should come back.
+//! The time after which a refused caller should retry.
 
 use std::time::Duration;
 
-/// Shortest time a refused caller is sent away for: below it the return meets
-/// the same queue.
-const SHORTEST: Duration = Duration::from_millis(40);
-/// Longest: a caller that waits longer has mostly lost the use of the answer.
-const LONGEST: Duration = Duration::from_secs(3);
+/// Minimum time before a retry. An earlier retry would find the same queue.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(40);
+/// Maximum time before a retry. A caller that waits longer can mostly no longer
+/// use the answer.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(3);
 
-/// When to come back, given when the first target expects room and what is
-/// left of the caller's time. `spread` is a random number in 0..1.
+/// Returns the time after which a refused caller should retry, given the time
+/// `room_in` until the first target expects capacity and the time left to the
+/// caller. `jitter` is a random number between 0 and 1.
 ///
-/// Load pattern: a burst is refused within milliseconds. With one time for
-/// all, the whole burst returns at one moment and is refused again; spread
-/// over the time in which room appears, its calls return about as fast as
-/// targets take them.
+/// Load pattern: a burst of calls is refused within milliseconds. Without jitter
+/// the whole burst returns at one moment and is refused again. With jitter its
+/// calls return about as fast as targets can accept them.
 #[must_use]
-pub fn retry_after(room_in: Duration, left: Duration, spread: f64) -> Duration {
-    let base = room_in.max(SHORTEST).min(LONGEST);
-    let spread_over = base.mul_f64(0.6 + 0.8 * spread.clamp(0.0, 1.0));
-    // A caller takes the advice only up to a third of its time; later advice
-    // would be cut to that moment for all of them.
-    spread_over.min((left / 3).max(SHORTEST))
+pub fn retry_after(room_in: Duration, time_left: Duration, jitter: f64) -> Duration {
+    let base = room_in.max(MIN_RETRY_AFTER).min(MAX_RETRY_AFTER);
+    let jittered = base.mul_f64(0.6 + 0.8 * jitter.clamp(0.0, 1.0));
+    // Callers honour the advice only up to a third of their time, and would all cut
+    // a longer time to that same moment.
+    jittered.min((time_left / 3).max(MIN_RETRY_AFTER))
 }
 
-/// Part of a usual run after which a call comes back that targets with free
-/// slots rejected.
-const REJECTED_RUN: f64 = 0.25;
+/// Time before the retry of a call that targets with free slots rejected, in usual
+/// run times of the call.
+const SHEDDING_RETRY_RUNS: f64 = 0.25;
 
-/// When to come back after targets rejected a call though they had room for it;
-/// `run` is the usual time of its run.
+/// Returns the time after which a caller should retry if targets with free slots
+/// rejected its call. `run` is the usual run time of the call.
 ///
-/// Load pattern: every target of a service sheds half of its calls, whatever
-/// its load. When room is expected says nothing there: the next try is as good
-/// as any, and each pause takes from the time to the call's aim. A part of a
-/// run is enough for what a target sheds in a short jam.
+/// Load pattern: every target of a service sheds half of its calls, whatever its
+/// load. The expected wait for capacity is then meaningless: any later retry has
+/// the same chance, and each pause uses up time before the call's soft deadline.
+/// A fraction of a run time is enough if a target sheds calls only during a short
+/// overload.
 #[must_use]
-pub fn retry_after_shedding(run: Duration, left: Duration, spread: f64) -> Duration {
-    retry_after(run.mul_f64(REJECTED_RUN), left, spread)
+pub fn retry_after_shedding(run: Duration, time_left: Duration, jitter: f64) -> Duration {
+    retry_after(run.mul_f64(SHEDDING_RETRY_RUNS), time_left, jitter)
 }
--- a/crates/policy/src/run_times.rs
+++ b/crates/policy/src/run_times.rs
@@ -1,47 +1,48 @@
-//! How long a target's runs take, by kind of call.
+//! Estimates of a target's run times by kind of call.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Weight of the newest run in a running mean: some thirty runs back count.
-/// Fewer would make chance look like speed, as run times have long tails.
-const NEWEST: f64 = 0.03;
-/// Run time assumed before any was seen.
-const FIRST_GUESS: Duration = Duration::from_millis(100);
-/// Runs that a guess from elsewhere counts for among a kind's first own runs.
-const GUESS_RUNS: f64 = 3.0;
-/// Kinds remembered. A target is called on a handful of routes; the limit
-/// bounds memory where routes come and go for months.
-const MOST_KINDS: usize = 256;
-
-/// How long a run takes.
+/// Weight of the newest run in a moving average, which covers about thirty runs. Run
+/// times have long tails, so an average of fewer runs would show chance as a change
+/// of speed. The first runs have a higher weight.
+const MIN_NEWEST_RUN_WEIGHT: f64 = 0.03;
+/// Run time assumed before any run is recorded.
+const DEFAULT_RUN_TIME: Duration = Duration::from_millis(100);
+/// Weight of a prior estimate against the recorded runs of a kind, in runs.
+const PRIOR_WEIGHT_RUNS: f64 = 3.0;
+/// Maximum number of kinds with recorded runs. A target is called on a few routes;
+/// the limit bounds memory if routes are added and removed for months.
+const MAX_KINDS: usize = 256;
+
+/// Distribution of a run time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RunTime {
-    /// On average.
+    /// Mean run time.
     pub mean: Duration,
-    /// Mean distance from that.
+    /// Mean absolute deviation from [`RunTime::mean`].
     pub mean_deviation: Duration,
 }
 
 impl RunTime {
-    /// Time within which some nine of ten runs end, be their times even or
-    /// with a long tail: 1.5 means where they differ by a quarter, 2.5 where
-    /// they are exponential.
+    /// Approximate 90th percentile of the run time, for even as well as long-tailed
+    /// run times: 1.5 times the mean if the mean deviation is a quarter of the mean,
+    /// 2.5 times the mean if run times are exponential.
     #[must_use]
-    pub fn most(&self) -> Duration {
+    pub fn p90(&self) -> Duration {
         self.mean + self.mean_deviation * 2
     }
 
-    /// Runs of which only the mean is known: taken as exponential.
+    /// Exponential run time, assumed if only the mean is known.
     #[must_use]
     pub fn exponential(mean: Duration) -> RunTime {
         RunTime {
             mean,
-            mean_deviation: mean.mul_f64(FIRST_SPREAD),
+            mean_deviation: mean.mul_f64(EXPONENTIAL_DEVIATION_RATIO),
         }
     }
 
-    /// The same run at a target `slowdown` times as slow.
+    /// Run time of the same call at a target that is slower by the factor `slowdown`.
     #[must_use]
     pub fn slowed_by(&self, slowdown: f64) -> RunTime {
         RunTime {
@@ -51,134 +52,139 @@
     }
 }
 
-/// Spread taken for a kind whose runs were not seen yet, as a part of its mean:
-/// as of exponential times.
-const FIRST_SPREAD: f64 = 0.75;
+/// Mean deviation of exponential run times, as a ratio of their mean. Assumed while
+/// the deviation is not known from recorded runs.
+const EXPONENTIAL_DEVIATION_RATIO: f64 = 0.75;
 
-/// A running mean of run times, and of their distance from it.
+/// Moving averages of run times and of their deviation from the average.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunTimeAverage {
     mean_ms: f64,
-    spread_ms: f64,
+    mean_deviation_ms: f64,
     runs: u32,
-    /// Number of the run, of all kinds, that was noted last.
-    last: u64,
+    /// Number of the latest run, counted over all kinds of a [`RunTimeEstimator`].
+    last_recorded: u64,
 }
 
 impl RunTimeAverage {
-    /// Counts a run.
+    /// Records a run that took `took`.
     pub fn record(&mut self, took: Duration) {
         let took_ms = millis(took);
         if self.runs == 0 {
             self.mean_ms = took_ms;
-            self.spread_ms = took_ms * FIRST_SPREAD;
+            self.mean_deviation_ms = took_ms * EXPONENTIAL_DEVIATION_RATIO;
         }
         self.runs = self.runs.saturating_add(1);
-        let weight = NEWEST.max(1.0 / (f64::from(self.runs) + 1.0));
-        self.spread_ms += ((took_ms - self.mean_ms).abs() - self.spread_ms) * weight;
+        let weight = MIN_NEWEST_RUN_WEIGHT.max(1.0 / (f64::from(self.runs) + 1.0));
+        self.mean_deviation_ms +=
+            ((took_ms - self.mean_ms).abs() - self.mean_deviation_ms) * weight;
         self.mean_ms += (took_ms - self.mean_ms) * weight;
     }
 
-    /// What is known; `None` before the first run.
+    /// Average run time, or `None` before the first run.
     #[must_use]
     pub fn time(&self) -> Option<RunTime> {
         (self.runs > 0).then(|| RunTime {
             mean: Duration::from_secs_f64(self.mean_ms / 1_000.0),
-            mean_deviation: Duration::from_secs_f64(self.spread_ms / 1_000.0),
+            mean_deviation: Duration::from_secs_f64(self.mean_deviation_ms / 1_000.0),
         })
     }
 }
 
-/// Mean run times of one target, by kind of call.
+/// Run time estimates of one target, by kind of call.
 ///
-/// Load pattern: one service runs lookups of 30 ms beside reports of 480 ms.
-/// By one mean for all, a lookup with 350 ms left looks hopeless and is turned
-/// away at once, and the payment that waits for it fails; with a mean for each
-/// kind it is judged by its own 30 ms.
+/// The run time of a kind that the target has not run yet is estimated from its
+/// usual run time at other targets, as reported by the caller, and the target's
+/// slowdown: the ratio of its run times to the usual ones.
 ///
-/// A kind that was not run here yet is judged by what callers say it usually
-/// takes, and by the target's pace: how much slower than usual its runs are.
+/// Load pattern: one service runs lookups of 30 ms and reports of 480 ms. With one
+/// average for all kinds, a lookup with 350 ms left would be declined at once as
+/// too late, and the payment that depends on it would fail.
 #[derive(Clone, Debug)]
 pub struct RunTimeEstimator {
     kinds: HashMap<String, RunTimeAverage>,
-    all: RunTimeAverage,
+    all_kinds: RunTimeAverage,
     slowdown: f64,
-    noted: u64,
+    recorded_runs: u64,
 }
 
 impl Default for RunTimeEstimator {
     fn default() -> Self {
         RunTimeEstimator {
             kinds: HashMap::new(),
-            all: RunTimeAverage::default(),
+            all_kinds: RunTimeAverage::default(),
             slowdown: 1.0,
-            noted: 0,
+            recorded_runs: 0,
         }
     }
 }
 
 impl RunTimeEstimator {
-    /// Counts a run of `kind` that answered in full after `took`; `usual` is
-    /// what such runs take elsewhere, as far as that is known.
+    /// Records a run of `kind` that sent a complete answer after `took`. `usual` is
+    /// the run time of `kind` at other targets, if known.
     pub fn record(&mut self, kind: &str, usual: Option<RunTime>, took: Duration) {
-        self.noted += 1;
-        self.all.record(took);
+        self.recorded_runs += 1;
+        self.all_kinds.record(took);
         if let Some(usual) = usual.filter(|usual| !usual.mean.is_zero()) {
-            let weight = NEWEST.max(1.0 / (f64::from(self.all.runs) + GUESS_RUNS));
+            let weight = MIN_NEWEST_RUN_WEIGHT
+                .max(1.0 / (f64::from(self.all_kinds.runs) + PRIOR_WEIGHT_RUNS));
             let slowdown = millis(took) / millis(usual.mean);
             self.slowdown += (slowdown - self.slowdown) * weight;
         }
         if !self.kinds.contains_key(kind) {
-            self.make_room();
+            self.evict_oldest_kind();
             self.kinds
                 .insert(kind.to_owned(), RunTimeAverage::default());
         }
         if let Some(mean) = self.kinds.get_mut(kind) {
             mean.record(took);
-            mean.last = self.noted;
+            mean.last_recorded = self.recorded_runs;
         }
     }
 
-    fn make_room(&mut self) {
-        if self.kinds.len() < MOST_KINDS {
+    fn evict_oldest_kind(&mut self) {
+        if self.kinds.len() < MAX_KINDS {
             return;
         }
-        let oldest = self.kinds.iter().min_by_key(|(_, mean)| mean.last);
+        let oldest = self.kinds.iter().min_by_key(|(_, mean)| mean.last_recorded);
         if let Some(kind) = oldest.map(|(kind, _)| kind.clone()) {
             self.kinds.remove(&kind);
         }
     }
 
-    /// How long a run of `kind` is expected to take here.
+    /// Expected run time of `kind` at this target. `usual` is the run time of `kind` at
+    /// other targets, if known.
     #[must_use]
     pub fn expect(&self, kind: &str, usual: Option<RunTime>) -> RunTime {
         let own = self.kinds.get(kind).copied().unwrap_or_default();
-        let guess = usual
+        let prior = usual
             .map(|usual| usual.slowed_by(self.slowdown))
             .or_else(|| own.time())
-            .unwrap_or_else(|| self.of_any_kind());
+            .unwrap_or_else(|| self.time_of_any_kind());
         let runs = f64::from(own.runs);
-        let mixed = |own_ms: f64, guess: Duration| {
-            let sum_ms = own_ms * runs + millis(guess) * GUESS_RUNS;
-            Duration::from_secs_f64(sum_ms / (runs + GUESS_RUNS) / 1_000.0)
+        let mixed = |own_ms: f64, prior: Duration| {
+            let sum_ms = own_ms * runs + millis(prior) * PRIOR_WEIGHT_RUNS;
+            Duration::from_secs_f64(sum_ms / (runs + PRIOR_WEIGHT_RUNS) / 1_000.0)
         };
         RunTime {
-            mean: mixed(own.mean_ms, guess.mean),
-            mean_deviation: mixed(own.spread_ms, guess.mean_deviation),
+            mean: mixed(own.mean_ms, prior.mean),
+            mean_deviation: mixed(own.mean_deviation_ms, prior.mean_deviation),
         }
     }
 
-    fn of_any_kind(&self) -> RunTime {
-        self.all.time().unwrap_or(RunTime::exponential(FIRST_GUESS))
+    fn time_of_any_kind(&self) -> RunTime {
+        self.all_kinds
+            .time()
+            .unwrap_or(RunTime::exponential(DEFAULT_RUN_TIME))
     }
 
-    /// Mean time of all runs.
+    /// Mean run time over all kinds; a default before the first run.
     #[must_use]
     pub fn mean(&self) -> Duration {
-        self.of_any_kind().mean
+        self.time_of_any_kind().mean
     }
 
-    /// How much longer than usual runs take here; 1 for a usual target.
+    /// Ratio of the target's run times to the usual ones; 1 for an average target.
     #[must_use]
     pub fn slowdown(&self) -> f64 {
         self.slowdown
--- a/crates/policy/tests/run_time_cases.rs
+++ b/crates/policy/tests/run_time_cases.rs
@@ -1,4 +1,4 @@
-//! What run times by kind of call say of a target.
+//! Run time estimates by kind of call.
 
 use std::time::Duration;
 
@@ -8,36 +8,36 @@
 const LOOKUP: Duration = Duration::from_millis(30);
 const REPORT: Duration = Duration::from_millis(480);
 
-/// What a kind usually takes.
+/// Usual run time of a kind, reported by the caller.
 fn usual(mean: Duration) -> RunTime {
     RunTime::exponential(mean)
 }
 
-fn is_near(time: Duration, wanted: Duration) -> bool {
-    (time.as_secs_f64() / wanted.as_secs_f64() - 1.0).abs() < 0.15
+fn is_close(time: Duration, expected: Duration) -> bool {
+    (time.as_secs_f64() / expected.as_secs_f64() - 1.0).abs() < 0.15
 }
 
-/// A target runs lookups beside reports sixteen times as long. By one mean for
-/// all a lookup with 350 ms left looks hopeless, is refused, and the run that
-/// waits for it fails.
+/// A target runs lookups beside reports that take sixteen times as long. With one
+/// mean for all kinds, a lookup with 350 ms left would be declined as too late, and
+/// the call that depends on it would fail.
 #[test]
-fn a_slow_kind_does_not_make_a_short_one_look_slow() {
-    let mut times = RunTimeEstimator::default();
+fn slow_runs_of_one_kind_do_not_raise_the_estimate_of_another() {
+    let mut estimator = RunTimeEstimator::default();
     for _ in 0..50 {
-        times.record("lookup", Some(usual(LOOKUP)), LOOKUP);
-        times.record("report", Some(usual(REPORT)), REPORT);
+        estimator.record("lookup", Some(usual(LOOKUP)), LOOKUP);
+        estimator.record("report", Some(usual(REPORT)), REPORT);
     }
-    let lookup = times.expect("lookup", Some(usual(LOOKUP))).mean;
-    let report = times.expect("report", Some(usual(REPORT))).mean;
-    assert!(is_near(lookup, LOOKUP), "{lookup:?}");
-    assert!(is_near(report, REPORT), "{report:?}");
-    assert!(is_near(times.mean(), (LOOKUP + REPORT) / 2));
+    let lookup = estimator.expect("lookup", Some(usual(LOOKUP))).mean;
+    let report = estimator.expect("report", Some(usual(REPORT))).mean;
+    assert!(is_close(lookup, LOOKUP), "{lookup:?}");
+    assert!(is_close(report, REPORT), "{report:?}");
+    assert!(is_close(estimator.mean(), (LOOKUP + REPORT) / 2));
 }
 
-/// One kind that a target did not run yet.
+/// A kind that the target has not run yet.
 struct NewKindCase {
-    story: &'static str,
-    /// How much slower than usual its other runs were.
+    description: &'static str,
+    /// Ratio of the target's other run times to the usual ones.
     slowdown: f64,
     usual: Option<RunTime>,
     expected: Duration,
@@ -45,62 +45,67 @@
 
 #[rstest]
 #[case(NewKindCase {
-    story: "judged by what it usually takes",
+    description: "estimated from its usual run time",
     slowdown: 1.0, usual: Some(usual(LOOKUP)), expected: LOOKUP,
 })]
 #[case(NewKindCase {
-    story: "at a target that is three times as slow",
+    description: "estimated for a target that is three times as slow",
     slowdown: 3.0, usual: Some(usual(LOOKUP)), expected: Duration::from_millis(90),
 })]
 #[case(NewKindCase {
-    story: "by the other runs where nothing is known",
+    description: "estimated from the other runs if its usual run time is unknown",
     slowdown: 1.0, usual: None, expected: REPORT,
 })]
-fn a_new_kind_is_judged_by_pace(#[case] case: NewKindCase) {
-    let mut times = RunTimeEstimator::default();
+fn a_new_kind_is_estimated_by_the_slowdown_of_the_target(#[case] case: NewKindCase) {
+    let mut estimator = RunTimeEstimator::default();
     for _ in 0..120 {
-        times.record("report", Some(usual(REPORT)), REPORT.mul_f64(case.slowdown));
+        estimator.record("report", Some(usual(REPORT)), REPORT.mul_f64(case.slowdown));
     }
-    let mean = times.expect("lookup", case.usual).mean;
-    assert!(is_near(mean, case.expected), "{}: {mean:?}", case.story);
+    let mean = estimator.expect("lookup", case.usual).mean;
+    assert!(
+        is_close(mean, case.expected),
+        "{}: {mean:?}",
+        case.description
+    );
 }
 
-/// Runs that take about the same each leave more time to wait than such with
-/// a long tail: nine of ten must lie within what is reckoned with.
+/// The 90th percentile must cover at least eight in ten runs, both for even and for
+/// long-tailed run times, but must not exceed a given ratio to the mean. An estimate
+/// that is too high would leave calls less time to wait.
 #[rstest]
 #[case("about the same", &[110, 115, 120, 125, 130], 1.2)]
 #[case("a long tail", &[20, 40, 60, 90, 390], 3.2)]
-fn most_runs_end_within_their_time(
-    #[case] story: &str,
+fn most_runs_end_within_the_90th_percentile(
+    #[case] description: &str,
     #[case] millis: &[u64],
-    #[case] at_most: f64,
+    #[case] max_p90_ratio: f64,
 ) {
-    let mut times = RunTimeEstimator::default();
+    let mut estimator = RunTimeEstimator::default();
     let runs: Vec<Duration> = (0..40)
         .flat_map(|_| millis.iter().map(|ms| Duration::from_millis(*ms)))
         .collect();
     for run in &runs {
-        times.record("kind", None, *run);
+        estimator.record("kind", None, *run);
     }
-    let time = times.expect("kind", None);
-    let within = runs.iter().filter(|run| **run <= time.most()).count();
-    assert!(within * 10 >= runs.len() * 8, "{story}: {within}");
+    let time = estimator.expect("kind", None);
+    let within = runs.iter().filter(|run| **run <= time.p90()).count();
+    assert!(within * 10 >= runs.len() * 8, "{description}: {within}");
     assert!(
-        time.most() <= time.mean.mul_f64(at_most),
-        "{story}: {time:?}"
+        time.p90() <= time.mean.mul_f64(max_p90_ratio),
+        "{description}: {time:?}"
     );
 }
 
-/// Routes come and go for months. What is remembered must not grow with them,
-/// and a kind in use must not be forgotten for one that is not.
+/// Routes are added and removed for months. The number of recorded kinds must stay
+/// bounded, and a kind in use must not be evicted for one that is not.
 #[test]
-fn forgotten_kinds_make_room() {
-    let mut times = RunTimeEstimator::default();
+fn the_least_recent_kinds_are_evicted() {
+    let mut estimator = RunTimeEstimator::default();
     for number in 0..2_000 {
-        times.record("report", Some(usual(REPORT)), REPORT);
-        times.record(&format!("kind-{number}"), Some(usual(LOOKUP)), LOOKUP);
+        estimator.record("report", Some(usual(REPORT)), REPORT);
+        estimator.record(&format!("kind-{number}"), Some(usual(LOOKUP)), LOOKUP);
     }
-    assert!(is_near(times.expect("report", None).mean, REPORT));
-    let forgotten = times.expect("kind-0", None).mean;
-    assert!(!is_near(forgotten, LOOKUP), "{forgotten:?}");
+    assert!(is_close(estimator.expect("report", None).mean, REPORT));
+    let evicted = estimator.expect("kind-0", None).mean;
+    assert!(!is_close(evicted, LOOKUP), "{evicted:?}");
 }
