--- a/crates/policy/tests/refusal_replay.rs
+++ b/crates/policy/tests/refusal_replay.rs
@@ -1,4 +1,4 @@
-//! What becomes of callers whose calls are turned away, by when they return.
+//! Simulated retries of refused callers.
 
 use std::time::Duration;
 
@@ -6,32 +6,32 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Every target of a service sheds more than half of its calls, whatever its
-/// load, for seconds. A lookup of 220 ms has 800 ms to its aim and may be tried
-/// three times, so 83 in 100 get a try that is not shed; they must still have
-/// the time for it. (With the pause of a service without room, 300 ms, 73 in
-/// 100 were in time.)
+/// For seconds, every target of a service sheds more than half of its calls, whatever
+/// its load. A lookup of 220 ms has 800 ms to its soft deadline and may be tried
+/// three times, so 83 in 100 lookups have a try that is not shed. Nearly all of these
+/// must be answered in time. With the retry time for a service without capacity,
+/// 300 ms, only 73 in 100 lookups were in time.
 #[test]
-fn callers_of_targets_that_shed_return_in_time() {
+fn retries_at_shedding_targets_are_in_time() {
     const CALLS: u32 = 4_000;
     const TRIES: u32 = 3;
-    const SHED: f64 = 0.55;
+    const SHED_SHARE: f64 = 0.55;
     const RUN: Duration = Duration::from_millis(220);
-    const AIM: Duration = Duration::from_millis(800);
-    const DEADLINE: Duration = Duration::from_secs(5);
-    /// The way to the targets that reject a try, and back.
-    const REJECTED_AFTER: Duration = Duration::from_millis(20);
+    const SOFT_TIMEOUT: Duration = Duration::from_millis(800);
+    const TIMEOUT: Duration = Duration::from_secs(5);
+    /// Round trip to the targets that reject a try.
+    const REJECTION_ROUND_TRIP: Duration = Duration::from_millis(20);
     let mut rng = StdRng::seed_from_u64(7);
     let mut in_time = 0;
     for _ in 0..CALLS {
-        let mut passed = Duration::ZERO;
+        let mut elapsed = Duration::ZERO;
         for _ in 0..TRIES {
-            if !rng.random_bool(SHED) {
-                in_time += u32::from(passed + RUN <= AIM);
+            if !rng.random_bool(SHED_SHARE) {
+                in_time += u32::from(elapsed + RUN <= SOFT_TIMEOUT);
                 break;
             }
-            passed += REJECTED_AFTER;
-            passed += retry_after_shedding(RUN, DEADLINE.saturating_sub(passed), rng.random());
+            elapsed += REJECTION_ROUND_TRIP;
+            elapsed += retry_after_shedding(RUN, TIMEOUT.saturating_sub(elapsed), rng.random());
         }
     }
     let share = f64::from(in_time) / f64::from(CALLS);
--- a/crates/policy/tests/support/gate.rs
+++ b/crates/policy/tests/support/gate.rs
@@ -1,4 +1,4 @@
-//! Plays a load against the queue in front of one target.
+//! Simulates a load of calls on the admission queue of one target.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -12,41 +12,42 @@
 /// Slots of the target.
 pub const SLOTS: u32 = 9;
 
-/// An open gate with nothing at it.
-pub fn open_gate() -> AdmissionQueue {
+/// Creates an empty queue that accepts calls.
+pub fn open_queue() -> AdmissionQueue {
     let mut queue = AdmissionQueue::new(QueueLimits::default());
     queue.set_slots(SLOTS);
     queue.set_open(true);
     queue
 }
 
-/// A call as the load brings it.
+/// One call of a simulated load. Times are relative to the start of the replay, and
+/// the timeouts to the arrival of the call.
 #[derive(Clone, Copy, Debug)]
-pub struct LoadCall {
+pub struct SimulatedCall {
     pub at: Duration,
     pub priority: u8,
-    pub soft_deadline: Duration,
-    pub left: Duration,
-    /// How long it takes.
+    pub soft_timeout: Duration,
+    pub timeout: Duration,
+    /// Actual run time.
     pub run: Duration,
-    /// How long it is expected to take.
-    pub expected: Duration,
+    /// Expected run time, known to the queue.
+    pub expected_run: Duration,
 }
 
-/// What became of a call.
+/// How a simulated call ended, and how long after its arrival.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum CallFate {
-    Declined { held: Duration },
+pub enum CallOutcome {
+    Declined { declined_after: Duration },
     Answered { took: Duration },
 }
 
-/// Plays `calls` (in order of their arrival) and gives each one's fate.
-pub fn replay(calls: &[LoadCall]) -> Vec<CallFate> {
+/// Simulates `calls`, sorted by arrival, and returns the outcome of each call.
+pub fn replay(calls: &[SimulatedCall]) -> Vec<CallOutcome> {
     let start = Instant::now();
-    let mut queue = open_gate();
-    let mut fates = vec![
-        CallFate::Declined {
-            held: Duration::MAX
+    let mut queue = open_queue();
+    let mut outcomes = vec![
+        CallOutcome::Declined {
+            declined_after: Duration::MAX
         };
         calls.len()
     ];
@@ -56,65 +57,72 @@
     let mut now = Duration::ZERO;
     while next < calls.len() || !running.is_empty() || !waiting.is_empty() {
         now += Duration::from_millis(1);
-        let mut ended = Vec::new();
+        let mut finished_calls = Vec::new();
         running.retain(|&(until, call)| {
             if until <= now {
-                ended.push(call);
+                finished_calls.push(call);
             }
             until > now
         });
-        for call in ended {
+        for call in finished_calls {
             queue.finish_run();
-            fates[call] = CallFate::Answered {
+            outcomes[call] = CallOutcome::Answered {
                 took: now.saturating_sub(calls[call].at),
             };
         }
         while next < calls.len() && calls[next].at <= now {
             let call = calls[next];
-            let demand = AdmissionRequest {
+            let request = AdmissionRequest {
                 priority: call.priority,
-                soft_deadline: start + call.at + call.soft_deadline,
-                deadline: start + call.at + call.left,
-                run: RunTime::exponential(call.expected),
+                soft_deadline: start + call.at + call.soft_timeout,
+                deadline: start + call.at + call.timeout,
+                run: RunTime::exponential(call.expected_run),
                 link: LinkTime::default(),
             };
-            match queue.offer(demand, turn(calls, &running), start + now) {
+            match queue.offer(request, mean_run(calls, &running), start + now) {
                 AdmissionDecision::Run => running.push((now + call.run, next)),
                 AdmissionDecision::Wait(ticket) => {
                     waiting.insert(ticket, next);
                 }
                 AdmissionDecision::Decline { .. } => {
-                    fates[next] = CallFate::Declined {
-                        held: now.saturating_sub(call.at),
+                    outcomes[next] = CallOutcome::Declined {
+                        declined_after: now.saturating_sub(call.at),
                     };
                 }
             }
             next += 1;
         }
-        for end in queue.dispatch(turn(calls, &running), start + now) {
+        for end in queue.dispatch(mean_run(calls, &running), start + now) {
             match end {
                 WaitOutcome::Run(ticket) => {
-                    let call = waiting.remove(&ticket).expect("it waited");
+                    let call = waiting
+                        .remove(&ticket)
+                        .expect("the ticket belongs to a waiting call");
                     running.push((now + calls[call].run, call));
                 }
                 WaitOutcome::Decline { ticket, .. } => {
-                    let call = waiting.remove(&ticket).expect("it waited");
-                    fates[call] = CallFate::Declined {
-                        held: now.saturating_sub(calls[call].at),
+                    let call = waiting
+                        .remove(&ticket)
+                        .expect("the ticket belongs to a waiting call");
+                    outcomes[call] = CallOutcome::Declined {
+                        declined_after: now.saturating_sub(calls[call].at),
                     };
                 }
             }
         }
         assert!(
             running.len() <= SLOTS as usize,
-            "more at the target than slots"
+            "more running calls than slots"
         );
     }
-    fates
+    outcomes
 }
 
-/// Mean time that the runs under way are expected to take.
-fn turn(calls: &[LoadCall], running: &[(Duration, usize)]) -> Duration {
-    let total: Duration = running.iter().map(|(_, call)| calls[*call].expected).sum();
+/// Mean expected run time of the running calls.
+fn mean_run(calls: &[SimulatedCall], running: &[(Duration, usize)]) -> Duration {
+    let total: Duration = running
+        .iter()
+        .map(|(_, call)| calls[*call].expected_run)
+        .sum();
     total / u32::try_from(running.len().max(1)).unwrap_or(u32::MAX)
 }
