--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -12,15 +12,15 @@
 use filbert_policy::organisations::keys::{KeyHash, KeyIndex, OrganisationRule, RateLimit};
 use filbert_policy::organisations::quota::{PoolPart, QuotaTerms, TokenPool};
 use filbert_policy::organisations::stash::TokenStash;
-use filbert_policy::placement::{choose, CallShape, CrossingCost, TargetView};
+use filbert_policy::placement::{choose_target, CrossZoneCost, PlacementRequest, TargetView};
 use filbert_policy::quarantine::{CallRecord, CrashMark, QuarantineBook};
 use filbert_policy::rollout::judge::{CallCounts, TargetCounts, VersionJudge, VersionSide};
 use filbert_policy::rollout::note::{OrderId, RolloutNote, RolloutStage};
 use filbert_policy::routing::{
-    ClientLimits, MeshVersion, RouteIndex, RouteKind, RoutePart, RouteRule,
+    ClientLimits, ConfigVersion, RouteIndex, RouteKind, RoutePart, RouteRule,
 };
 use filbert_policy::run_times::{RunTime, RunTimes};
-use filbert_policy::weights::WeightDealer;
+use filbert_policy::weights::WeightedRoundRobin;
 
 /// Decisions measured for each figure.
 const ROUNDS: u32 = 100_000;
@@ -59,7 +59,7 @@
                 weight: 10,
             },
         ],
-        is_open: false,
+        is_public: false,
     }
 }
 
@@ -103,14 +103,14 @@
 
 /// Cost of choosing a call's target.
 fn measure_placement() {
-    let call = CallShape {
-        carried_kib: 5.0,
-        aim_ms: 600.0,
-        left_ms: 2_000.0,
-        is_served_at_home: true,
-        goes_before: false,
+    let call = PlacementRequest {
+        transfer_kib: 5.0,
+        soft_deadline_ms: 600.0,
+        deadline_ms: 2_000.0,
+        zone_has_target: true,
+        is_above_lowest_priority: false,
     };
-    let crossing = CrossingCost {
+    let crossing = CrossZoneCost {
         base: 0.01,
         per_kib: 0.006,
         most: 0.9,
@@ -122,9 +122,9 @@
                 slots: 9,
                 occupancy: f64::from(target % 9),
                 run_ms: 150.0 + f64::from(target),
-                spread_ms: 60.0,
-                turn_ms: 150.0,
-                ill_share: 0.0,
+                mean_deviation_ms: 60.0,
+                queue_run_ms: 150.0,
+                failure_rate: 0.0,
                 is_cold: false,
                 is_leaving: false,
                 link_ms: 0.0,
@@ -133,7 +133,7 @@
             .collect();
         let mut rng = rand::rng();
         measure(&format!("placement among {count} targets"), |_| {
-            black_box(choose(&views, &call, &crossing, &mut rng));
+            black_box(choose_target(&views, &call, &crossing, &mut rng));
         });
     }
 }
@@ -156,7 +156,7 @@
         host: "shop.example",
         target: path,
         caller: &["", "", ""],
-        body_start: body,
+        body_prefix: body,
         body_length: Some(body.len() as u64),
     })
 }
@@ -284,7 +284,7 @@
     measure_quarantine();
     let routes: Vec<Arc<RouteRule>> = (0..2_000).map(route).map(Arc::new).collect();
     let first = Arc::clone(&routes[0]);
-    let index = RouteIndex::compile(MeshVersion {
+    let index = RouteIndex::compile(ConfigVersion {
         number: 1,
         routes,
         services: Vec::new(),
@@ -294,9 +294,9 @@
     measure("route lookup, 2,000 routes, depth 4", |_| {
         black_box(index.lookup("shop.example", "/p1999/a/b/c?d=e"));
     });
-    let mut dealer = WeightDealer::default();
+    let mut dealer = WeightedRoundRobin::default();
     measure("deal of a split route", |_| {
-        black_box(dealer.deal(&first, 7));
+        black_box(dealer.next_service(&first, 7));
     });
     measure_placement();
     measure_run_times();
--- a/crates/ctl/src/mesh.rs
+++ b/crates/ctl/src/mesh.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write;
 use std::str::FromStr;
 
-use filbert_policy::routing::{MeshVersion, RouteKind, RouteRule};
+use filbert_policy::routing::{ConfigVersion, RouteKind, RouteRule};
 use serde::Serialize;
 
 /// One route with everything that it inherits or sets, as text by key.
@@ -25,18 +25,18 @@
 impl MeshTree {
     /// Flattens a version.
     #[must_use]
-    pub fn of(version: &MeshVersion) -> MeshTree {
+    pub fn of(version: &ConfigVersion) -> MeshTree {
         let limits = &version.limits;
         let site = RouteKeys::from([
             ("head_bytes".to_owned(), limits.head_bytes.to_string()),
             ("body_bytes".to_owned(), limits.body_bytes.to_string()),
             (
                 "head_ms".to_owned(),
-                limits.head_time.as_millis().to_string(),
+                limits.head_timeout.as_millis().to_string(),
             ),
             (
                 "idle_ms".to_owned(),
-                limits.idle_time.as_millis().to_string(),
+                limits.idle_timeout.as_millis().to_string(),
             ),
         ]);
         let routes = version
--- a/crates/mesh/src/calls/admit.rs
+++ b/crates/mesh/src/calls/admit.rs
@@ -47,7 +47,7 @@
         }
     };
     story.organisation.clone_from(&holder.name);
-    let token = if route.is_open {
+    let token = if route.is_public {
         None
     } else {
         match shared.take_token(&holder, limit).await {
--- a/crates/mesh/src/calls/pick.rs
+++ b/crates/mesh/src/calls/pick.rs
@@ -4,7 +4,9 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use filbert_policy::placement::{assumed_occupancy, choose, CallShape, CrossingCost, TargetView};
+use filbert_policy::placement::{
+    choose_target, estimated_occupancy, CrossZoneCost, PlacementRequest, TargetView,
+};
 use filbert_policy::rollout::note::VersionLane;
 use filbert_policy::routing::RouteRule;
 use filbert_policy::run_times::RunTime;
@@ -56,7 +58,7 @@
         .get(&route.name)
         .map_or(0.0, |history| history.answer_kib);
     let usual = head.usual_run.map(RunTime::from);
-    let carried_kib = answer_kib + kib(head.body_length.unwrap_or(0));
+    let transfer_kib = answer_kib + kib(head.body_length.unwrap_or(0));
     let mut seen = Vec::new();
     if let Some(status) = shared.gate.status() {
         let occupancy = f64::from(status.load.running + status.load.waiting);
@@ -75,13 +77,13 @@
         };
         let in_zone = peer.address.zone == settings.zone;
         let reported = status.load.running + status.load.waiting;
-        let occupancy = assumed_occupancy(reported, sent, shared.daemons().min(MOST_ALIKE));
+        let occupancy = estimated_occupancy(reported, sent, shared.daemons().min(MOST_ALIKE));
         let Some(mut view) = view_of(&status, service, usual, in_zone, occupancy) else {
             continue;
         };
         // What was placed there since the report will want the link too.
         let unseen = occupancy - f64::from(reported);
-        view.link_ms += unseen * carried_kib * view.link_ms_per_kib;
+        view.link_ms += unseen * transfer_kib * view.link_ms_per_kib;
         seen.push(SeenTarget {
             host: peer.address.id.clone(),
             candidate: Candidate::Peer(peer),
@@ -89,15 +91,15 @@
             view,
         });
     }
-    let shape = CallShape {
-        carried_kib,
-        aim_ms: millis(head.aim_us),
-        left_ms: millis(head.left_us),
-        is_served_at_home: false,
-        goes_before: head.priority < shared.current_index().last_rank(),
+    let request = PlacementRequest {
+        transfer_kib,
+        soft_deadline_ms: millis(head.aim_us),
+        deadline_ms: millis(head.left_us),
+        zone_has_target: false,
+        is_above_lowest_priority: head.priority < shared.current_index().lowest_priority(),
     };
     let crossing = settings.crossing_cost();
-    let among = |seen: Vec<SeenTarget>| choose_among(seen, tried, shape, &crossing);
+    let among = |seen: Vec<SeenTarget>| choose_among(seen, tried, request, &crossing);
     let Some(lane) = shared.rollouts.lane(service, &head.id) else {
         return among(of_most_common(seen));
     };
@@ -125,14 +127,14 @@
 fn choose_among(
     mut seen: Vec<SeenTarget>,
     tried: &[String],
-    mut shape: CallShape,
-    crossing: &CrossingCost,
+    mut request: PlacementRequest,
+    crossing: &CrossZoneCost,
 ) -> Option<PickedTarget> {
     let is_home = |target: &SeenTarget| target.view.in_zone && !target.view.is_leaving;
-    shape.is_served_at_home = seen.iter().any(is_home);
+    request.zone_has_target = seen.iter().any(is_home);
     seen.retain(|target| !tried.contains(&target.host));
     let views: Vec<TargetView> = seen.iter().map(|target| target.view).collect();
-    let index = choose(&views, &shape, crossing, &mut rand::rng())?;
+    let index = choose_target(&views, &request, crossing, &mut rand::rng())?;
     let target = seen.swap_remove(index);
     Some(PickedTarget {
         candidate: target.candidate,
@@ -194,9 +196,9 @@
         slots: load.slots,
         occupancy,
         run_ms: run.mean.as_secs_f64() * 1_000.0,
-        spread_ms: run.spread.as_secs_f64() * 1_000.0,
-        turn_ms: load.run_ms,
-        ill_share: load.ill_share,
+        mean_deviation_ms: run.spread.as_secs_f64() * 1_000.0,
+        queue_run_ms: load.run_ms,
+        failure_rate: load.failure_rate,
         is_cold: status.is_cold,
         is_leaving: status.state == TargetState::Leaving,
         link_ms: load.link_ms,
--- a/crates/mesh/src/calls/place.rs
+++ b/crates/mesh/src/calls/place.rs
@@ -83,7 +83,7 @@
         let service = shared
             .dealer
             .borrow_mut()
-            .deal(route, shared.seed)
+            .next_service(route, shared.seed)
             .to_owned();
         let now = shared.clock.now();
         shared.budget.borrow_mut().earn(&service, now);
--- a/crates/mesh/src/calls/place/ending.rs
+++ b/crates/mesh/src/calls/place/ending.rs
@@ -34,7 +34,7 @@
             view.occupancy,
             view.slots,
             view.run_ms,
-            view.ill_share,
+            view.failure_rate,
             view.in_zone,
             view.link_ms,
             target.candidates
--- a/crates/mesh/src/egress.rs
+++ b/crates/mesh/src/egress.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use filbert_policy::clock::Clock;
-use filbert_policy::egress::{EgressQueue, EgressTicket, EgressVerdict, SHORT_ANSWER};
+use filbert_policy::egress::{EgressDecision, EgressQueue, EgressTicket, MAX_UNPACED_BYTES};
 use tokio::sync::Notify;
 
 /// The way out of this host.
@@ -39,8 +39,8 @@
 
     /// Time that `bytes` take on the link.
     #[must_use]
-    pub fn time_of(&self, bytes: u64) -> Duration {
-        self.queue.borrow().time_of(bytes)
+    pub fn transmission_time(&self, bytes: u64) -> Duration {
+        self.queue.borrow().transmission_time(bytes)
     }
 
     /// Time until all is out that waits or was promised.
@@ -51,16 +51,16 @@
 
     /// Time that an answer of `bytes` would wait for others before it leaves.
     #[must_use]
-    pub fn wait_of(&self, bytes: u64) -> Duration {
-        self.queue.borrow().wait_of(bytes, self.clock.now())
+    pub fn queueing_delay(&self, bytes: u64) -> Duration {
+        self.queue.borrow().queueing_delay(bytes, self.clock.now())
     }
 
     /// Counts an answer of about `bytes` that will want to leave, until the
     /// promise is dropped.
     #[must_use]
-    pub fn promise(self: &Rc<Self>, bytes: u64) -> AnswerPromise {
-        self.queue.borrow_mut().promise(bytes);
-        AnswerPromise {
+    pub fn reserve(self: &Rc<Self>, bytes: u64) -> AnswerReservation {
+        self.queue.borrow_mut().reserve(bytes);
+        AnswerReservation {
             pacer: Rc::clone(self),
             bytes,
         }
@@ -69,26 +69,26 @@
     /// Waits until `bytes` may leave, of an answer of which `left` are left, and
     /// whose caller waits until `due`.
     pub async fn pace(&self, bytes: u64, left: u64, due: Instant) {
-        if left <= SHORT_ANSWER {
+        if left <= MAX_UNPACED_BYTES {
             let now = self.clock.now();
-            self.queue.borrow_mut().pass(bytes, now);
+            self.queue.borrow_mut().record_sent(bytes, now);
             return;
         }
-        let ticket = self.queue.borrow_mut().line_up(bytes, left, due);
+        let ticket = self.queue.borrow_mut().enqueue(bytes, left, due);
         let place = LinePlace {
             pacer: self,
             ticket,
         };
         loop {
             let changed = self.changed.notified();
-            let verdict = self.queue.borrow_mut().ask(ticket, self.clock.now());
-            match verdict {
-                EgressVerdict::Go => break,
-                EgressVerdict::NotBefore(at) => tokio::select! {
+            let decision = self.queue.borrow_mut().try_send(ticket, self.clock.now());
+            match decision {
+                EgressDecision::Send => break,
+                EgressDecision::RetryAt(at) => tokio::select! {
                     () = tokio::time::sleep_until(at.into()) => {}
                     () = changed => {}
                 },
-                EgressVerdict::Behind => changed.await,
+                EgressDecision::Blocked => changed.await,
             }
         }
         drop(place);
@@ -96,14 +96,14 @@
 }
 
 /// An answer that will want to leave.
-pub struct AnswerPromise {
+pub struct AnswerReservation {
     pacer: Rc<EgressPacer>,
     bytes: u64,
 }
 
-impl Drop for AnswerPromise {
+impl Drop for AnswerReservation {
     fn drop(&mut self) {
-        self.pacer.queue.borrow_mut().settle(self.bytes);
+        self.pacer.queue.borrow_mut().release(self.bytes);
     }
 }
 
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -14,10 +14,10 @@
 
 use filbert_policy::admission::{GateQueue, LinkTime, WaitLimits, WaitTicket};
 use filbert_policy::clock::Clock;
-use filbert_policy::health::{RunSign, TargetHealth};
+use filbert_policy::health::{RunOutcome, TargetHealth};
 use filbert_policy::identity::CallIdentity;
 use filbert_policy::instance::{InstanceChange, InstanceKey, InstanceReport, InstanceTracker};
-use filbert_policy::numbers::count_of;
+use filbert_policy::numbers::count_to_f64;
 use filbert_policy::run_times::{RunTime, RunTimes};
 use tokio::sync::{oneshot, Notify, Semaphore};
 
@@ -191,9 +191,12 @@
 
     /// Takes word of peers that instance `key` was leaving before this daemon
     /// started.
-    pub fn left_before(&self, key: &InstanceKey) {
+    pub fn mark_left_before_restart(&self, key: &InstanceKey) {
         let now = self.clock.now();
-        self.state.borrow_mut().tracker.left_before(key, now);
+        self.state
+            .borrow_mut()
+            .tracker
+            .mark_left_before_restart(key, now);
         self.changed.notify_waiters();
     }
 
@@ -268,13 +271,13 @@
             waiting: state.queue.waiting(),
             run_ms: millis(turn_time(state, now)),
             pace: state.times.pace(),
-            ill_share: state.health.ill_share(),
+            failure_rate: state.health.failure_rate(),
             link_ms: millis(self.egress.backlog()),
-            link_ms_per_kib: millis(self.egress.time_of(KIB)),
+            link_ms_per_kib: millis(self.egress.transmission_time(KIB)),
         }
     }
 
-    fn note(&self, sign: RunSign) {
+    fn note(&self, sign: RunOutcome) {
         self.state.borrow_mut().health.note(sign);
     }
 
@@ -293,9 +296,9 @@
         LinkTime {
             wait: self
                 .egress
-                .wait_of(bytes)
+                .queueing_delay(bytes)
                 .saturating_sub(self.expected_run(call).mean),
-            send: self.egress.time_of(bytes),
+            send: self.egress.transmission_time(bytes),
         }
     }
 }
@@ -321,5 +324,5 @@
             }
         })
         .sum();
-    total.div_f64(count_of(state.started.len()))
+    total.div_f64(count_to_f64(state.started.len()))
 }
--- a/crates/mesh/src/gate/run.rs
+++ b/crates/mesh/src/gate/run.rs
@@ -5,8 +5,8 @@
 
 use filbert_http1::ResponseHead;
 use filbert_policy::admission::{CallDemand, DeclineReason, LinkTime};
-use filbert_policy::egress::SHORT_ANSWER;
-use filbert_policy::health::RunSign;
+use filbert_policy::egress::MAX_UNPACED_BYTES;
+use filbert_policy::health::RunOutcome;
 use filbert_policy::run_times::RunTime;
 
 use super::wait::Declined;
@@ -98,9 +98,9 @@
                 let took = self.clock.now().saturating_duration_since(run.started);
                 self.note_answer(run, &head, took);
                 let told = if head.status < FIRST_FAILURE {
-                    RunTold::Well
+                    RunTold::Success
                 } else {
-                    RunTold::Badly
+                    RunTold::Failure
                 };
                 let reply = ReplyHead::Answer {
                     head: answer_head(&head),
@@ -110,7 +110,7 @@
                 let is_short = head
                     .framing
                     .length()
-                    .is_some_and(|length| length <= SHORT_ANSWER);
+                    .is_some_and(|length| length <= MAX_UNPACED_BYTES);
                 let body = if is_short {
                     AnswerBody::Run(body)
                 } else {
@@ -129,14 +129,14 @@
             }
             ExchangeEnd::Lost(reason) => {
                 self.note_ill(run, "lost", reason);
-                (self.lost(None), none, RunTold::Badly)
+                (self.lost(None), none, RunTold::Failure)
             }
             ExchangeEnd::BrokenOff(reason) => {
                 let ended = self.mark_if_ended(run.call.identity, run.started).await;
                 let (verdict, told) = if ended.is_some() {
                     ("target_ended", RunTold::Nothing)
                 } else {
-                    ("lost", RunTold::Badly)
+                    ("lost", RunTold::Failure)
                 };
                 self.note_ill(run, verdict, reason);
                 (self.lost(ended), none, told)
@@ -152,9 +152,9 @@
             if head.status < FIRST_FAILURE {
                 let usual = run.call.usual_run.map(RunTime::from);
                 state.times.note(&run.call.kind, usual, took);
-                state.health.note(RunSign::Well);
+                state.health.note(RunOutcome::Success);
             } else {
-                state.health.note(RunSign::Ill);
+                state.health.note(RunOutcome::Failure);
             }
         }
         if head.status >= FIRST_FAILURE {
@@ -164,7 +164,7 @@
 
     fn note_ill(&self, run: &CallRun<'_>, verdict: &'static str, reason: &str) {
         self.metrics.gate(verdict);
-        self.note(RunSign::Ill);
+        self.note(RunOutcome::Failure);
         self.say_run(run, verdict, reason);
     }
 
--- a/crates/mesh/src/gate/wait.rs
+++ b/crates/mesh/src/gate/wait.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use filbert_policy::admission::{CallDemand, DeclineReason, GateVerdict, WaitEnd, WaitTicket};
-use filbert_policy::health::RunSign;
+use filbert_policy::health::RunOutcome;
 use filbert_policy::identity::CallIdentity;
 use tokio::sync::oneshot;
 
@@ -29,7 +29,7 @@
 impl RunPermit {
     /// Notes that the target broke the answer off.
     pub fn broke_off(self) {
-        self.gate.note(RunSign::Ill);
+        self.gate.note(RunOutcome::Failure);
         if let Some(run) = self.started() {
             self.gate.mark_later(run.call, run.at);
         }
--- a/crates/mesh/src/ingress/bodies.rs
+++ b/crates/mesh/src/ingress/bodies.rs
@@ -60,7 +60,7 @@
     body: &CallBody,
     rest: Option<&BodyRest>,
 ) -> CallIdentity {
-    let (body_start, body_length) = match (body, rest) {
+    let (body_prefix, body_length) = match (body, rest) {
         (CallBody::Whole(whole), _) => (&whole[..], Some(whole.len() as u64)),
         (CallBody::Pieces(_), Some((start, _))) => (&start[..], head.framing.length()),
         (CallBody::Pieces(_), None) => (&[][..], head.framing.length()),
@@ -70,7 +70,7 @@
         host,
         target: &head.target,
         caller: &headers::caller_values(head),
-        body_start,
+        body_prefix,
         body_length,
     })
 }
--- a/crates/mesh/src/ingress/mod.rs
+++ b/crates/mesh/src/ingress/mod.rs
@@ -169,13 +169,14 @@
     }
     await_first_byte(shared, state, reader).await?;
     let limits = *shared.current_index().limits();
-    let raw =
-        match tokio::time::timeout(limits.head_time, reader.read_head(limits.head_bytes)).await {
-            Ok(Ok(Some(raw))) => raw,
-            Ok(Err(ReadError::HeadTooLong)) => return Err(ReadEnd::Last(Some(HEAD_TOO_LONG))),
-            Ok(Ok(None) | Err(_)) => return Err(ReadEnd::Gone),
-            Err(_) => return Err(ReadEnd::Last(Some(REQUEST_TIMEOUT))),
-        };
+    let raw = match tokio::time::timeout(limits.head_timeout, reader.read_head(limits.head_bytes))
+        .await
+    {
+        Ok(Ok(Some(raw))) => raw,
+        Ok(Err(ReadError::HeadTooLong)) => return Err(ReadEnd::Last(Some(HEAD_TOO_LONG))),
+        Ok(Ok(None) | Err(_)) => return Err(ReadEnd::Gone),
+        Err(_) => return Err(ReadEnd::Last(Some(REQUEST_TIMEOUT))),
+    };
     let received = shared.clock.now();
     state.last_use.set(received);
     let head = match RequestHead::parse(&raw) {
@@ -224,7 +225,7 @@
         if shared.stop.is_closing() && !is_busy {
             return Err(ReadEnd::Last(None));
         }
-        let idle = shared.current_index().limits().idle_time;
+        let idle = shared.current_index().limits().idle_timeout;
         let until = state.last_use.get() + idle;
         if !is_busy && shared.clock.now() >= until {
             return Err(ReadEnd::Last(None));
--- a/crates/mesh/src/messages.rs
+++ b/crates/mesh/src/messages.rs
@@ -80,7 +80,7 @@
     /// How much longer than usual runs of all kinds take; 1 when usual.
     pub pace: f64,
     /// Share of its recent runs that ended ill, 0 to 1.
-    pub ill_share: f64,
+    pub failure_rate: f64,
     /// Time until the host's link is free of the answers that are due, in
     /// milliseconds.
     pub link_ms: f64,
--- a/crates/mesh/src/metrics.rs
+++ b/crates/mesh/src/metrics.rs
@@ -75,7 +75,7 @@
     version: Gauge<u64>,
     running: Gauge<u64>,
     waiting: Gauge<u64>,
-    ill_share: Gauge<f64>,
+    failure_rate: Gauge<f64>,
     links: Gauge<u64>,
     peers: Gauge<u64>,
     memory: Gauge<u64>,
@@ -143,7 +143,7 @@
             version: gauge("filbert.version", "The version in force"),
             running: gauge("filbert.gate.running", "Calls at the target"),
             waiting: gauge("filbert.gate.waiting", "Calls that wait for the target"),
-            ill_share: meter
+            failure_rate: meter
                 .f64_gauge("filbert.target.ill_share")
                 .with_description("Share of the target's recent runs that ended ill")
                 .build(),
@@ -236,7 +236,7 @@
         if let Some(status) = shared.gate.status() {
             self.running.record(u64::from(status.load.running), &[]);
             self.waiting.record(u64::from(status.load.waiting), &[]);
-            self.ill_share.record(status.load.ill_share, &[]);
+            self.failure_rate.record(status.load.failure_rate, &[]);
         }
         if let Some(bytes) = resident_memory() {
             self.memory.record(bytes, &[]);
--- a/crates/mesh/src/organisations/mod.rs
+++ b/crates/mesh/src/organisations/mod.rs
@@ -117,7 +117,7 @@
             return CallHolder::Nobody;
         }
         let holder = key.and_then(|key| organisations.holder(key));
-        if route.is_open {
+        if route.is_public {
             return holder.map_or(CallHolder::Nobody, |holder| {
                 CallHolder::Organisation(Arc::clone(holder))
             });
--- a/crates/mesh/src/rollouts/tally.rs
+++ b/crates/mesh/src/rollouts/tally.rs
@@ -74,9 +74,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunTold {
     /// With a whole answer that is no failure.
-    Well,
+    Success,
     /// With a failure of the target's own.
-    Badly,
+    Failure,
     /// In a way that says nothing: rejected, or the target ended.
     Nothing,
 }
@@ -125,8 +125,8 @@
         self.is_told = true;
         let is_bad = match told {
             RunTold::Nothing => return,
-            RunTold::Badly => true,
-            RunTold::Well => self.is_far_longer(),
+            RunTold::Failure => true,
+            RunTold::Success => self.is_far_longer(),
         };
         self.book.own.note(&self.kind, is_bad);
     }
--- a/crates/mesh/src/serve_peers/news.rs
+++ b/crates/mesh/src/serve_peers/news.rs
@@ -41,7 +41,7 @@
     }
     let mut feed = shared.peers.watch(&from);
     for key in &left {
-        shared.gate.left_before(key);
+        shared.gate.mark_left_before_restart(key);
     }
     for message in first_news(&shared, &from.zone) {
         outgoing.send_data(encode(&message), false)?;
--- a/crates/mesh/src/settings.rs
+++ b/crates/mesh/src/settings.rs
@@ -10,7 +10,7 @@
 use filbert_policy::budget::BudgetTerms;
 use filbert_policy::membership::DEFAULT_SERVICES;
 use filbert_policy::organisations::quota::QuotaTerms;
-use filbert_policy::placement::CrossingCost;
+use filbert_policy::placement::CrossZoneCost;
 use filbert_tree::ParseError;
 use serde::{Deserialize, Deserializer};
 
@@ -337,8 +337,8 @@
 
     /// What placement charges for leaving the zone.
     #[must_use]
-    pub fn crossing_cost(&self) -> CrossingCost {
-        CrossingCost {
+    pub fn crossing_cost(&self) -> CrossZoneCost {
+        CrossZoneCost {
             base: self.crossing.base,
             per_kib: self.crossing.per_kib,
             most: self.crossing.most,
--- a/crates/mesh/src/shell.rs
+++ b/crates/mesh/src/shell.rs
@@ -14,7 +14,7 @@
 use filbert_platform::store::StoreClient;
 use filbert_policy::budget::RetryBudget;
 use filbert_policy::clock::{Clock, SystemClock};
-use filbert_policy::weights::WeightDealer;
+use filbert_policy::weights::WeightedRoundRobin;
 use tokio::net::TcpListener;
 
 use crate::egress::EgressPacer;
@@ -137,7 +137,7 @@
         quarantine,
         rollouts,
         organisations,
-        dealer: RefCell::new(WeightDealer::default()),
+        dealer: RefCell::new(WeightedRoundRobin::default()),
         routes: RefCell::new(HashMap::new()),
         metrics,
         lines: LineBudget::new(now),
--- a/crates/mesh/src/state.rs
+++ b/crates/mesh/src/state.rs
@@ -8,11 +8,11 @@
 use filbert_platform::store::StoreClient;
 use filbert_policy::budget::RetryBudget;
 use filbert_policy::clock::Clock;
-use filbert_policy::numbers::whole_of;
+use filbert_policy::numbers::truncate_to_u64;
 use filbert_policy::patience::PatienceRecord;
 use filbert_policy::routing::RouteIndex;
 use filbert_policy::run_times::{RunMean, RunTime};
-use filbert_policy::weights::WeightDealer;
+use filbert_policy::weights::WeightedRoundRobin;
 
 use tokio::sync::Notify;
 
@@ -71,7 +71,7 @@
     /// What may be sent a second time.
     pub budget: RefCell<RetryBudget>,
     /// Deals split routes' calls.
-    pub dealer: RefCell<WeightDealer>,
+    pub dealer: RefCell<WeightedRoundRobin>,
     /// What was learnt of each route's calls, by route name.
     pub routes: RefCell<HashMap<String, RouteHistory>>,
     /// Counters and histograms.
@@ -177,7 +177,7 @@
             .borrow()
             .get(route)
             .map_or(0.0, |history| history.answer_kib);
-        whole_of(kib * 1024.0)
+        truncate_to_u64(kib * 1024.0)
     }
 
     /// Usual time of a run on `route`; `None` before the first.
--- a/crates/mesh/src/status.rs
+++ b/crates/mesh/src/status.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use filbert_policy::numbers::count_of;
+use filbert_policy::numbers::count_to_f64;
 
 use crate::messages::{encode, LinkMessage, TargetLoad, TargetStatus};
 use crate::state::MeshShared;
@@ -89,7 +89,7 @@
             is_other_target(told, status)
                 || RoomLevel::of(before) != RoomLevel::of(after)
                 || (before.pace - after.pace).abs() > FAR_PACE_CHANGE * before.pace
-                || (before.ill_share - after.ill_share).abs() > FAR_ILL_CHANGE
+                || (before.failure_rate - after.failure_rate).abs() > FAR_ILL_CHANGE
         }
         (told, status) => told.is_some() != status.is_some(),
     }
@@ -104,7 +104,7 @@
 }
 
 fn load_pause(watchers: usize) -> Duration {
-    LOAD_EVERY.mul_f64(count_of(watchers.max(TOLD_OFTEN)) / count_of(TOLD_OFTEN))
+    LOAD_EVERY.mul_f64(count_to_f64(watchers.max(TOLD_OFTEN)) / count_to_f64(TOLD_OFTEN))
 }
 
 fn is_worth_telling(told: Option<&TargetStatus>, status: Option<&TargetStatus>) -> bool {
@@ -116,7 +116,7 @@
             is_other_target(told, status)
                 || (before.running + before.waiting) != (after.running + after.waiting)
                 || (before.run_ms - after.run_ms).abs() > RUN_CHANGE * before.run_ms
-                || (before.ill_share - after.ill_share).abs() > ILL_CHANGE
+                || (before.failure_rate - after.failure_rate).abs() > ILL_CHANGE
         }
         _ => true,
     }
--- a/crates/mesh/tests/quarantine_cases.rs
+++ b/crates/mesh/tests/quarantine_cases.rs
@@ -23,7 +23,7 @@
         host: "shop.example",
         target: &format!("/read/{number}"),
         caller: &[],
-        body_start: b"",
+        body_prefix: b"",
         body_length: Some(0),
     })
 }
--- a/crates/policy/src/admission/order.rs
+++ b/crates/policy/src/admission/order.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::CallDemand;
-use crate::numbers::whole_of;
+use crate::numbers::truncate_to_u64;
 
 /// Where a call stands among those that wait; the least goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -36,7 +36,7 @@
         let run_ms = (demand.run.mean.as_secs_f64() * 1_000.0).max(1.0);
         let doublings = run_ms.log2() + f64::from(demand.priority) * RANK_DOUBLINGS;
         CallOrder {
-            cost: whole_of(doublings * QUARTERS),
+            cost: truncate_to_u64(doublings * QUARTERS),
             is_late,
             by: if is_late { demand.deadline } else { demand.aim },
         }
@@ -44,7 +44,7 @@
 
     /// The step of [`OfferedLoad`] that it is counted in.
     fn step(self) -> usize {
-        usize::try_from(self.cost / whole_of(QUARTERS)).unwrap_or(STEPS)
+        usize::try_from(self.cost / truncate_to_u64(QUARTERS)).unwrap_or(STEPS)
     }
 }
 
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use crate::numbers::count_of;
+use crate::numbers::count_to_f64;
 
 /// Slices a window is counted in.
 const SLICES: u32 = 20;
@@ -126,7 +126,7 @@
             RepeatCause::NoAnswer => USED_SHARE,
             RepeatCause::Failed => USED_SHARE * FAILED_SHARE,
         };
-        let slack = self.terms.slack / count_of(daemons.max(1));
+        let slack = self.terms.slack / count_to_f64(daemons.max(1));
         let totals: Vec<(f64, f64)> = self
             .services
             .iter()
--- a/crates/policy/src/egress.rs
+++ b/crates/policy/src/egress.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use crate::numbers::bytes_of;
+use crate::numbers::bytes_to_f64;
 
 /// Part of the link's rate that answers get. The rest is for packet headers,
 /// calls sent elsewhere, news and pings. Short answers are counted within the
@@ -15,7 +15,7 @@
 
 /// Answers up to this length, in bytes, are not paced: they are out in some
 /// milliseconds on the slowest link, and are what others wait for most.
-pub const SHORT_ANSWER: u64 = 8 * 1024;
+pub const MAX_UNPACED_BYTES: u64 = 8 * 1024;
 
 /// How many times as long as an answer's rest takes on the link may be left until
 /// it is due when it goes first: others may have to go first as well.
@@ -34,13 +34,13 @@
 
 /// What becomes of a piece that wants to leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EgressVerdict {
+pub enum EgressDecision {
     /// It may go now.
-    Go,
+    Send,
     /// Not before this moment, if nothing changes.
-    NotBefore(Instant),
+    RetryAt(Instant),
     /// Others that are due go first.
-    Behind,
+    Blocked,
 }
 
 /// A piece in the line.
@@ -101,9 +101,9 @@
 
     /// Time that `bytes` take on the link.
     #[must_use]
-    pub fn time_of(&self, bytes: u64) -> Duration {
+    pub fn transmission_time(&self, bytes: u64) -> Duration {
         match self.rate {
-            Some(rate) => Duration::from_secs_f64(bytes_of(bytes) / rate),
+            Some(rate) => Duration::from_secs_f64(bytes_to_f64(bytes) / rate),
             None => Duration::ZERO,
         }
     }
@@ -112,13 +112,14 @@
     #[must_use]
     pub fn backlog(&self, now: Instant) -> Duration {
         let waiting: u64 = self.waiting.keys().map(|ticket| ticket.left).sum();
-        self.free_at.saturating_duration_since(now) + self.time_of(waiting + self.promised)
+        self.free_at.saturating_duration_since(now)
+            + self.transmission_time(waiting + self.promised)
     }
 
     /// Time that an answer of `bytes` would wait for others before it leaves.
     #[must_use]
-    pub fn wait_of(&self, bytes: u64, now: Instant) -> Duration {
-        if bytes <= SHORT_ANSWER {
+    pub fn queueing_delay(&self, bytes: u64, now: Instant) -> Duration {
+        if bytes <= MAX_UNPACED_BYTES {
             Duration::ZERO
         } else {
             self.backlog(now)
@@ -126,30 +127,30 @@
     }
 
     /// Counts an answer that will want to leave.
-    pub fn promise(&mut self, bytes: u64) {
+    pub fn reserve(&mut self, bytes: u64) {
         self.promised += bytes;
     }
 
     /// Takes back a promise: the answer begins to leave, or will not.
-    pub fn settle(&mut self, bytes: u64) {
+    pub fn release(&mut self, bytes: u64) {
         self.promised = self.promised.saturating_sub(bytes);
     }
 
     /// Counts bytes that leave at once.
-    pub fn pass(&mut self, bytes: u64, now: Instant) {
-        self.free_at = self.free_at.max(now) + self.time_of(bytes);
+    pub fn record_sent(&mut self, bytes: u64, now: Instant) {
+        self.free_at = self.free_at.max(now) + self.transmission_time(bytes);
     }
 
     /// Lines up `bytes` of an answer of which `left` bytes are left, and whose
     /// caller waits until `due`.
-    pub fn line_up(&mut self, bytes: u64, left: u64, due: Instant) -> EgressTicket {
+    pub fn enqueue(&mut self, bytes: u64, left: u64, due: Instant) -> EgressTicket {
         let left = left.max(bytes);
         let ticket = EgressTicket {
             left,
             number: self.next_number,
         };
         self.next_number += 1;
-        let spare = self.time_of(left).mul_f64(SPARE) + WAY_HOME;
+        let spare = self.transmission_time(left).mul_f64(SPARE) + WAY_HOME;
         let piece = WaitingPiece {
             bytes,
             first_at: due.checked_sub(spare).unwrap_or(due),
@@ -170,25 +171,25 @@
 
     /// Whether the piece of `ticket` may leave; if so it is not lined up any
     /// more.
-    pub fn ask(&mut self, ticket: EgressTicket, now: Instant) -> EgressVerdict {
+    pub fn try_send(&mut self, ticket: EgressTicket, now: Instant) -> EgressDecision {
         let Some(WaitingPiece { bytes, first_at }) = self.waiting.get(&ticket).copied() else {
-            return EgressVerdict::Go;
+            return EgressDecision::Send;
         };
         if self.rate.is_some() {
             if self.front(now) != Some(ticket) {
                 return if first_at > now {
-                    EgressVerdict::NotBefore(first_at)
+                    EgressDecision::RetryAt(first_at)
                 } else {
-                    EgressVerdict::Behind
+                    EgressDecision::Blocked
                 };
             }
             if self.free_at > now + AHEAD {
-                return EgressVerdict::NotBefore(self.free_at.checked_sub(AHEAD).unwrap_or(now));
+                return EgressDecision::RetryAt(self.free_at.checked_sub(AHEAD).unwrap_or(now));
             }
         }
         self.waiting.remove(&ticket);
-        self.pass(bytes, now);
-        EgressVerdict::Go
+        self.record_sent(bytes, now);
+        EgressDecision::Send
     }
 
     /// Takes a piece out of the line.
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -5,12 +5,12 @@
 
 /// How a run ended, as far as it says something about the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RunSign {
+pub enum RunOutcome {
     /// It answered in full.
-    Well,
+    Success,
     /// It failed the call, broke off, spoiled the answer or rejected the call
     /// while it had room.
-    Ill,
+    Failure,
 }
 
 /// The share of a target's calls that end ill.
@@ -20,22 +20,22 @@
 /// others.
 #[derive(Clone, Debug, Default)]
 pub struct TargetHealth {
-    ill_share: f64,
+    failure_rate: f64,
 }
 
 impl TargetHealth {
     /// Counts how a run ended.
-    pub fn note(&mut self, sign: RunSign) {
+    pub fn note(&mut self, sign: RunOutcome) {
         let ill = match sign {
-            RunSign::Well => 0.0,
-            RunSign::Ill => 1.0,
+            RunOutcome::Success => 0.0,
+            RunOutcome::Failure => 1.0,
         };
-        self.ill_share += (ill - self.ill_share) * NEWEST_OUTCOME;
+        self.failure_rate += (ill - self.failure_rate) * NEWEST_OUTCOME;
     }
 
     /// Share of recent runs that ended ill, 0 to 1.
     #[must_use]
-    pub fn ill_share(&self) -> f64 {
-        self.ill_share
+    pub fn failure_rate(&self) -> f64 {
+        self.failure_rate
     }
 }
--- a/crates/policy/src/identity.rs
+++ b/crates/policy/src/identity.rs
@@ -28,7 +28,7 @@
     /// Values of the headers that name its caller.
     pub caller: &'a [&'a str],
     /// The body, or as much of a long one as is read before the call is placed.
-    pub body_start: &'a [u8],
+    pub body_prefix: &'a [u8],
     /// Length of the whole body in bytes, where it is known.
     pub body_length: Option<u64>,
 }
@@ -51,7 +51,7 @@
         }
         let length = parts.body_length.unwrap_or(u64::MAX);
         add(&length.to_le_bytes());
-        add(parts.body_start);
+        add(parts.body_prefix);
         let mut bytes = [0; BYTES];
         bytes.copy_from_slice(&hasher.finalize().as_bytes()[..BYTES]);
         CallIdentity(bytes)
@@ -84,27 +84,27 @@
 
 /// The text is not an identity: 32 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BadIdentity;
+pub struct ParseIdentityError;
 
-impl fmt::Display for BadIdentity {
+impl fmt::Display for ParseIdentityError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("not a call's identity: 32 hexadecimal digits, as `call=` in the logs")
     }
 }
 
-impl std::error::Error for BadIdentity {}
+impl std::error::Error for ParseIdentityError {}
 
 impl FromStr for CallIdentity {
-    type Err = BadIdentity;
+    type Err = ParseIdentityError;
 
-    fn from_str(text: &str) -> Result<CallIdentity, BadIdentity> {
+    fn from_str(text: &str) -> Result<CallIdentity, ParseIdentityError> {
         if text.len() != 2 * BYTES || !text.is_ascii() {
-            return Err(BadIdentity);
+            return Err(ParseIdentityError);
         }
         let mut bytes = [0; BYTES];
         for (index, byte) in bytes.iter_mut().enumerate() {
             let digits = &text[2 * index..2 * index + 2];
-            *byte = u8::from_str_radix(digits, 16).map_err(|_| BadIdentity)?;
+            *byte = u8::from_str_radix(digits, 16).map_err(|_| ParseIdentityError)?;
         }
         Ok(CallIdentity(bytes))
     }
--- a/crates/policy/src/instance.rs
+++ b/crates/policy/src/instance.rs
@@ -73,7 +73,7 @@
     report: InstanceReport,
     leaving_since: Option<Instant>,
     /// Whether it was leaving already when it was first heard of.
-    left_before: bool,
+    mark_left_before_restart: bool,
     cold_until: Instant,
     heard: Instant,
 }
@@ -135,7 +135,7 @@
                 };
                 let leaving_since = report.is_draining.then_some(now);
                 let fresh = CurrentInstance {
-                    left_before: report.is_draining,
+                    mark_left_before_restart: report.is_draining,
                     report,
                     leaving_since,
                     cold_until,
@@ -200,12 +200,12 @@
     /// Guards against a leaving that was acknowledged by this daemon's process
     /// before it was killed: a late report would make the target look ready
     /// again, and calls would reach it after it may have ended.
-    pub fn left_before(&mut self, key: &InstanceKey, now: Instant) {
+    pub fn mark_left_before_restart(&mut self, key: &InstanceKey, now: Instant) {
         match &mut self.current {
             Some(current) if current.report.key == *key => {
                 if current.leaving_since.is_none() {
                     current.leaving_since = Some(now);
-                    current.left_before = true;
+                    current.mark_left_before_restart = true;
                 }
             }
             _ => self.remember_former(key),
@@ -218,7 +218,7 @@
     pub fn is_gone(&self) -> bool {
         self.current
             .as_ref()
-            .is_some_and(|current| current.left_before)
+            .is_some_and(|current| current.mark_left_before_restart)
     }
 
     fn forget(&mut self, key: InstanceKey) {
--- a/crates/policy/src/organisations/quota.rs
+++ b/crates/policy/src/organisations/quota.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use super::keys::RateLimit;
-use crate::numbers::{count_of, whole_of};
+use crate::numbers::{count_to_f64, truncate_to_u64};
 
 /// Time in which a pool without tokens is asked again at the earliest.
 const LEAST_DRY: Duration = Duration::from_millis(20);
@@ -74,8 +74,8 @@
     #[must_use]
     pub fn share(self) -> f64 {
         let leased_by = self.leased_by.min(self.hosts);
-        let heard = count_of(leased_by) / count_of(self.hosts.max(1));
-        heard / (count_of(self.zones.max(1)) * count_of(self.pools.max(1)))
+        let heard = count_to_f64(leased_by) / count_to_f64(self.hosts.max(1));
+        heard / (count_to_f64(self.zones.max(1)) * count_to_f64(self.pools.max(1)))
     }
 }
 
@@ -182,7 +182,7 @@
         let passed = now.saturating_duration_since(bucket.filled);
         bucket.filled = now;
         bucket.tokens = (bucket.tokens + passed.as_secs_f64() * per_s).min(most);
-        let tokens = u32::try_from(whole_of(bucket.tokens))
+        let tokens = u32::try_from(truncate_to_u64(bucket.tokens))
             .unwrap_or(u32::MAX)
             .min(wanted);
         bucket.tokens -= f64::from(tokens);
--- a/crates/policy/src/organisations/stash.rs
+++ b/crates/policy/src/organisations/stash.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use super::quota::TokenGrant;
-use crate::numbers::whole_of;
+use crate::numbers::truncate_to_u64;
 
 /// Time after its last grant in which a token is to be spent.
 const KEPT_FOR: Duration = Duration::from_secs(1);
@@ -83,7 +83,7 @@
     }
 
     fn ahead(&self) -> u32 {
-        u32::try_from(whole_of(self.used_per_s * AHEAD.as_secs_f64())).unwrap_or(0)
+        u32::try_from(truncate_to_u64(self.used_per_s * AHEAD.as_secs_f64())).unwrap_or(0)
     }
 
     fn drop_old(&mut self, now: Instant) {
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -3,8 +3,8 @@
 use rand::Rng;
 
 use crate::admission::SHORT_RUN;
-use crate::egress::SHORT_ANSWER;
-use crate::numbers::{bytes_of, count_of};
+use crate::egress::MAX_UNPACED_BYTES;
+use crate::numbers::{bytes_to_f64, count_to_f64};
 
 /// A target as a caller's daemon sees it when it places a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -19,11 +19,11 @@
     /// Time that a run of the call is expected to take there, in milliseconds.
     pub run_ms: f64,
     /// Mean distance of such runs from that, in milliseconds.
-    pub spread_ms: f64,
+    pub mean_deviation_ms: f64,
     /// Mean time of the runs that the call would wait behind, in milliseconds.
-    pub turn_ms: f64,
+    pub queue_run_ms: f64,
     /// Share of its recent runs that ended ill, 0 to 1.
-    pub ill_share: f64,
+    pub failure_rate: f64,
     /// Whether it started so lately that it is still slow.
     pub is_cold: bool,
     /// Whether it is about to leave.
@@ -37,25 +37,25 @@
 
 /// What placement needs to know of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CallShape {
+pub struct PlacementRequest {
     /// Usual size of its answer and size of its body, in KiB.
-    pub carried_kib: f64,
+    pub transfer_kib: f64,
     /// Time until an answer is worth less, in milliseconds.
-    pub aim_ms: f64,
+    pub soft_deadline_ms: f64,
     /// Time until an answer is worth nothing, in milliseconds.
-    pub left_ms: f64,
+    pub deadline_ms: f64,
     /// Whether a target in the caller's zone takes calls, be it that it turned
     /// this one away.
-    pub is_served_at_home: bool,
+    pub zone_has_target: bool,
     /// Whether it goes before other calls where it waits: its rank is not the
     /// last of those in force.
-    pub goes_before: bool,
+    pub is_above_lowest_priority: bool,
 }
 
 /// What it costs to cross into another availability zone, as parts of what a
 /// call answered in time is worth.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct CrossingCost {
+pub struct CrossZoneCost {
     /// For any call.
     pub base: f64,
     /// For each KiB of its answer.
@@ -64,7 +64,7 @@
     pub most: f64,
 }
 
-impl CrossingCost {
+impl CrossZoneCost {
     /// Part of the worth of a call that carries `kib` KiB, not bounded.
     fn of(&self, kib: f64) -> f64 {
         self.base + kib * self.per_kib
@@ -105,8 +105,8 @@
 /// it does. Counting its own only, the worst target of seven had 25 calls at
 /// once for 9 slots; with the guess it has 18.
 #[must_use]
-pub fn assumed_occupancy(reported: u32, sent_since: u32, daemons: usize) -> f64 {
-    let others = count_of(daemons.saturating_sub(1));
+pub fn estimated_occupancy(reported: u32, sent_since: u32, daemons: usize) -> f64 {
+    let others = count_to_f64(daemons.saturating_sub(1));
     f64::from(reported) + f64::from(sent_since) * (1.0 + LIKE_MINDED * others)
 }
 
@@ -123,7 +123,7 @@
 /// of 30 ms that its gate lets go first. Reckoned behind all ten, 3,700 lookups
 /// in a minute left their zone for a target that was no sooner done.
 fn most_ahead(view: &TargetView) -> f64 {
-    if view.run_ms <= view.turn_ms * SHORT_RUN {
+    if view.run_ms <= view.queue_run_ms * SHORT_RUN {
         SHORT_AHEAD
     } else {
         f64::INFINITY
@@ -134,13 +134,13 @@
 ///
 /// As of exponential times where the spread says so; where runs take about the
 /// same each, a target with a call's time to spare is as good as an idle one.
-fn miss_chance(run_ms: f64, spread_ms: f64, spare_ms: f64) -> f64 {
+fn miss_chance(run_ms: f64, mean_deviation_ms: f64, spare_ms: f64) -> f64 {
     /// Chance at the mean, and the mean's multiple of the spread, of
     /// exponential times.
     const AT_MEAN: f64 = 0.37;
     const MEANS_OF_SPREAD: f64 = 1.36;
     if spare_ms >= run_ms {
-        let scale_ms = (spread_ms * MEANS_OF_SPREAD).max(1.0);
+        let scale_ms = (mean_deviation_ms * MEANS_OF_SPREAD).max(1.0);
         AT_MEAN * (-(spare_ms - run_ms) / scale_ms).exp()
     } else {
         1.0 - (1.0 - AT_MEAN) * spare_ms / run_ms
@@ -154,28 +154,28 @@
 /// however early, so what counts is the chance of missing it. A fast target is worth a little waiting, a slow one is for when the fast are full,
 /// and another zone's for when waiting at home would cost more than the way.
 #[must_use]
-pub fn expected_loss(view: &TargetView, call: &CallShape, crossing: &CrossingCost) -> f64 {
+pub fn expected_loss(view: &TargetView, call: &PlacementRequest, crossing: &CrossZoneCost) -> f64 {
     let factor = if view.is_cold { COLD_FACTOR } else { 1.0 };
     let run_ms = (view.run_ms * factor).max(1.0);
     let slots = f64::from(view.slots.max(1));
     let ahead = calls_ahead(view.occupancy + 1.0 - slots).min(most_ahead(view));
-    let wait_ms = ahead * view.turn_ms * factor / slots;
+    let wait_ms = ahead * view.queue_run_ms * factor / slots;
     // The answer leaves when its run has ended and the host's link is free.
-    let link_wait_ms = if call.carried_kib * 1024.0 > bytes_of(SHORT_ANSWER) {
+    let link_wait_ms = if call.transfer_kib * 1024.0 > bytes_to_f64(MAX_UNPACED_BYTES) {
         (view.link_ms - wait_ms - run_ms).max(0.0)
     } else {
         0.0
     };
-    let link_ms = link_wait_ms + call.carried_kib * view.link_ms_per_kib;
-    let spare_ms = (call.aim_ms - wait_ms - link_ms).max(0.0);
-    let late = miss_chance(run_ms, view.spread_ms * factor, spare_ms);
-    let never = ((wait_ms + run_ms + link_ms) / call.left_ms.max(1.0)).min(1.0);
+    let link_ms = link_wait_ms + call.transfer_kib * view.link_ms_per_kib;
+    let spare_ms = (call.soft_deadline_ms - wait_ms - link_ms).max(0.0);
+    let late = miss_chance(run_ms, view.mean_deviation_ms * factor, spare_ms);
+    let never = ((wait_ms + run_ms + link_ms) / call.deadline_ms.max(1.0)).min(1.0);
     let mut loss = late * LATE_LOSS
         + never * NEVER_LOSS
-        + view.ill_share * ILL_LOSS
+        + view.failure_rate * ILL_LOSS
         + (view.occupancy / slots).min(1.0) * LEVEL_LOSS;
     if !view.in_zone {
-        loss += crossing.of(call.carried_kib).min(crossing.most);
+        loss += crossing.of(call.transfer_kib).min(crossing.most);
     }
     if view.is_leaving {
         loss += LEAVING_LOSS;
@@ -190,17 +190,17 @@
 /// its own for it: of 27,000 calls between zones 15,000 were refused. Another
 /// zone is for what can run there at once, or goes before others there; one
 /// without any target of its own waits elsewhere too.
-fn is_eligible(view: &TargetView, call: &CallShape, crossing: &CrossingCost) -> bool {
+fn is_eligible(view: &TargetView, call: &PlacementRequest, crossing: &CrossZoneCost) -> bool {
     let has_free_slot = view.occupancy + 1.0 <= f64::from(view.slots);
-    let may_queue = call.goes_before && crossing.of(call.carried_kib) < crossing.most;
-    view.in_zone || has_free_slot || may_queue || !call.is_served_at_home
+    let may_queue = call.is_above_lowest_priority && crossing.of(call.transfer_kib) < crossing.most;
+    view.in_zone || has_free_slot || may_queue || !call.zone_has_target
 }
 
 /// The index of the target to send to; `None` when there is none.
-pub fn choose<R: Rng>(
+pub fn choose_target<R: Rng>(
     views: &[TargetView],
-    call: &CallShape,
-    crossing: &CrossingCost,
+    call: &PlacementRequest,
+    crossing: &CrossZoneCost,
     rng: &mut R,
 ) -> Option<usize> {
     let mut best: Option<(usize, f64)> = None;
--- a/crates/policy/src/rollout/judge.rs
+++ b/crates/policy/src/rollout/judge.rs
@@ -18,7 +18,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use crate::numbers::count_of;
+use crate::numbers::count_to_f64;
 
 /// Calls that ended, and those of them that ended badly.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -301,7 +301,7 @@
 }
 
 fn calls(count: u64) -> f64 {
-    count_of(usize::try_from(count).unwrap_or(usize::MAX))
+    count_to_f64(usize::try_from(count).unwrap_or(usize::MAX))
 }
 
 /// Shares of bad answers of old targets.
--- a/crates/policy/src/rollout/schedule.rs
+++ b/crates/policy/src/rollout/schedule.rs
@@ -10,7 +10,7 @@
 
 use super::judge::Verdict;
 use super::note::{RolloutStage, StageReason};
-use crate::numbers::{count_of, whole_of};
+use crate::numbers::{count_to_f64, truncate_to_u64};
 
 /// What a roll-out may risk and how its calls are spent.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -116,9 +116,10 @@
         let trial_time = self.move_at(view.allowed).saturating_sub(view.elapsed);
         let expected = (view.verdict.rate() * trial_time.as_secs_f64()).max(1.0);
         let share = self.share * TRIAL_PART + self.slack * SLACK_PART / expected;
-        let per_mille = whole_of((share * 1_000.0).min(MOST_PER_MILLE));
+        let per_mille = truncate_to_u64((share * 1_000.0).min(MOST_PER_MILLE));
         let per_mille = u16::try_from(per_mille).unwrap_or(u16::MAX);
-        let alike = usize::try_from(whole_of((share * count_of(old)).round())).unwrap_or(new);
+        let alike =
+            usize::try_from(truncate_to_u64((share * count_to_f64(old)).round())).unwrap_or(new);
         let canaries = match self.spread {
             TrialSpread::FewFull => alike.max(LEAST_CANARIES).min(new),
             TrialSpread::AllAlike => new,
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -56,7 +56,7 @@
     /// Where its calls go; never empty.
     pub parts: Vec<RoutePart>,
     /// Whether its calls need no key.
-    pub is_open: bool,
+    pub is_public: bool,
 }
 
 /// One service.
@@ -78,9 +78,9 @@
     /// Bytes of a body.
     pub body_bytes: u64,
     /// Time from a head's first byte to its last.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Time a connection may stay open without a call.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for ClientLimits {
@@ -89,15 +89,15 @@
         ClientLimits {
             head_bytes: 16 * 1024,
             body_bytes: 64 * 1024 * 1024,
-            head_time: Duration::from_secs(3),
-            idle_time: Duration::from_secs(15),
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
 
 /// One whole version of the configuration.
 #[derive(Clone, Debug, PartialEq)]
-pub struct MeshVersion {
+pub struct ConfigVersion {
     /// Its number; numbers only grow.
     pub number: u64,
     /// Every route; those that stay are shared with the version before.
@@ -115,7 +115,7 @@
 pub struct RouteIndex {
     number: u64,
     limits: ClientLimits,
-    last_rank: u8,
+    lowest_priority: u8,
     services: Vec<ServiceRule>,
     organisations: KeyIndex,
     hosts: HashMap<String, HashMap<String, Arc<RouteRule>>>,
@@ -124,10 +124,10 @@
 impl RouteIndex {
     /// Compiles `version`.
     #[must_use]
-    pub fn compile(version: MeshVersion) -> RouteIndex {
+    pub fn compile(version: ConfigVersion) -> RouteIndex {
         let organisations = KeyIndex::compile(version.organisations);
         let ranks = version.routes.iter().map(|route| route.priority);
-        let last_rank = ranks.chain(organisations.last_rank()).max();
+        let lowest_priority = ranks.chain(organisations.lowest_priority()).max();
         let mut hosts: HashMap<String, HashMap<String, Arc<RouteRule>>> = HashMap::new();
         for route in version.routes {
             hosts
@@ -138,7 +138,7 @@
         RouteIndex {
             number: version.number,
             limits: version.limits,
-            last_rank: last_rank.unwrap_or(0),
+            lowest_priority: lowest_priority.unwrap_or(0),
             services: version.services,
             organisations,
             hosts,
@@ -165,8 +165,8 @@
 
     /// The least urgent rank of any call.
     #[must_use]
-    pub fn last_rank(&self) -> u8 {
-        self.last_rank
+    pub fn lowest_priority(&self) -> u8 {
+        self.lowest_priority
     }
 
     /// Longest time for which a call to `service` is worked on.
--- a/crates/policy/src/weights.rs
+++ b/crates/policy/src/weights.rs
@@ -10,7 +10,7 @@
 /// several points over a few hundred calls; dealing in turn keeps each daemon
 /// within one call of them at any moment, and so their sum too.
 #[derive(Debug, Default)]
-pub struct WeightDealer {
+pub struct WeightedRoundRobin {
     routes: HashMap<String, Vec<DealtPart>>,
 }
 
@@ -21,11 +21,11 @@
     credit: i64,
 }
 
-impl WeightDealer {
+impl WeightedRoundRobin {
     /// The service that takes the next call of `route`. `start` (any number)
     /// sets where in its round a fresh dealer begins, so that daemons started
     /// together do not all begin with the same part.
-    pub fn deal<'a>(&mut self, route: &'a RouteRule, start: u64) -> &'a str {
+    pub fn next_service<'a>(&mut self, route: &'a RouteRule, start: u64) -> &'a str {
         if let [only] = route.parts.as_slice() {
             return &only.service;
         }
--- a/crates/policy/tests/call_cases.rs
+++ b/crates/policy/tests/call_cases.rs
@@ -3,12 +3,12 @@
 use std::time::{Duration, Instant};
 
 use filbert_policy::attempt::{next_step, AttemptEnd, CallAllowance, NextStep};
-use filbert_policy::health::{RunSign, TargetHealth};
+use filbert_policy::health::{RunOutcome, TargetHealth};
 use filbert_policy::instance::{InstanceChange, InstanceKey, InstanceReport, InstanceTracker};
 use filbert_policy::routing::{
-    ClientLimits, MeshVersion, RouteIndex, RouteKind, RoutePart, RouteRule,
+    ClientLimits, ConfigVersion, RouteIndex, RouteKind, RoutePart, RouteRule,
 };
-use filbert_policy::weights::WeightDealer;
+use filbert_policy::weights::WeightedRoundRobin;
 use rstest::rstest;
 
 fn route(name: &str, prefix: &str, parts: &[(&str, u32)]) -> RouteRule {
@@ -28,12 +28,12 @@
                 weight: *weight,
             })
             .collect(),
-        is_open: false,
+        is_public: false,
     }
 }
 
 fn index() -> RouteIndex {
-    RouteIndex::compile(MeshVersion {
+    RouteIndex::compile(ConfigVersion {
         number: 7,
         routes: vec![
             route("short", "/a/", &[("one", 1)]).into(),
@@ -126,11 +126,11 @@
     let split = route("split", "/s/", parts);
     let total: u32 = parts.iter().map(|(_, weight)| weight).sum();
     for start in [0, 3, 1_000_003] {
-        let mut dealer = WeightDealer::default();
+        let mut dealer = WeightedRoundRobin::default();
         let mut dealt = vec![0_i64; parts.len()];
         let rounds = 1_000;
         for _ in 0..rounds {
-            let service = dealer.deal(&split, start);
+            let service = dealer.next_service(&split, start);
             let part = parts
                 .iter()
                 .position(|(name, _)| *name == service)
@@ -237,7 +237,7 @@
     assert!(tracker.is_gone());
 
     let mut tracker = InstanceTracker::default();
-    tracker.left_before(&key("one"), now);
+    tracker.mark_left_before_restart(&key("one"), now);
     assert_eq!(
         tracker.report(report("one", 8, false), now),
         InstanceChange::Stale
@@ -246,13 +246,13 @@
 
     let mut tracker = InstanceTracker::default();
     tracker.report(report("one", 8, false), now);
-    tracker.left_before(&key("one"), now);
+    tracker.mark_left_before_restart(&key("one"), now);
     assert!(tracker.is_gone());
 
     let mut tracker = InstanceTracker::default();
     tracker.report(report("one", 8, false), now);
     tracker.report(report("one", 9, true), now);
-    tracker.left_before(&key("one"), now);
+    tracker.mark_left_before_restart(&key("one"), now);
     assert!(!tracker.is_gone(), "its own acknowledgement, with its time");
 }
 
@@ -333,7 +333,7 @@
         InstanceChange::Stale
     );
     assert_eq!(tracker.leave(&start(1_000), now), InstanceChange::Stale);
-    tracker.left_before(&start(1_000), now);
+    tracker.mark_left_before_restart(&start(1_000), now);
     assert!(tracker.leaving_since().is_none());
     assert_eq!(tracker.leave(&start(2_000), now), InstanceChange::Draining);
 }
@@ -345,14 +345,14 @@
     let mut health = TargetHealth::default();
     for number in 0..20 {
         health.note(if number % 2 == 0 {
-            RunSign::Ill
+            RunOutcome::Failure
         } else {
-            RunSign::Well
+            RunOutcome::Success
         });
     }
-    assert!(health.ill_share() > 0.3, "{}", health.ill_share());
+    assert!(health.failure_rate() > 0.3, "{}", health.failure_rate());
     for _ in 0..40 {
-        health.note(RunSign::Well);
+        health.note(RunOutcome::Success);
     }
-    assert!(health.ill_share() < 0.01, "{}", health.ill_share());
+    assert!(health.failure_rate() < 0.01, "{}", health.failure_rate());
 }
--- a/crates/policy/tests/egress_replay.rs
+++ b/crates/policy/tests/egress_replay.rs
@@ -5,7 +5,7 @@
 use filbert_policy::admission::{
     CallDemand, DeclineReason, GateQueue, GateVerdict, LinkTime, WaitLimits,
 };
-use filbert_policy::egress::{EgressQueue, EgressTicket, EgressVerdict};
+use filbert_policy::egress::{EgressDecision, EgressQueue, EgressTicket};
 use filbert_policy::run_times::RunTime;
 
 /// Rate of the slowest links of the users, in Mbit/s.
@@ -40,8 +40,8 @@
             let piece = answer.left.min(PIECE);
             let ticket = *answer
                 .ticket
-                .get_or_insert_with(|| queue.line_up(piece, answer.left, start + PATIENCE));
-            if queue.ask(ticket, now) == EgressVerdict::Go {
+                .get_or_insert_with(|| queue.enqueue(piece, answer.left, start + PATIENCE));
+            if queue.try_send(ticket, now) == EgressDecision::Send {
                 answer.ticket = None;
                 answer.left -= piece;
                 if answer.left == 0 {
@@ -94,7 +94,7 @@
     let start = Instant::now();
     let mut queue = EgressQueue::new(SLOW, start);
     // A little more than the link carries comes for ten seconds.
-    let every = queue.time_of(SHORTER).mul_f64(0.95);
+    let every = queue.transmission_time(SHORTER).mul_f64(0.95);
     let mut long = (LONG, None);
     let mut shorter: Vec<(Instant, u64, Option<EgressTicket>)> = Vec::new();
     let mut next = start;
@@ -114,8 +114,8 @@
                 continue;
             }
             let place =
-                *ticket.get_or_insert_with(|| queue.line_up(piece, *left, began + PATIENCE));
-            if queue.ask(place, now) == EgressVerdict::Go {
+                *ticket.get_or_insert_with(|| queue.enqueue(piece, *left, began + PATIENCE));
+            if queue.try_send(place, now) == EgressDecision::Send {
                 *ticket = None;
                 *left -= piece;
             }
@@ -132,15 +132,18 @@
 fn whoever_waits_looks_again_when_it_is_due() {
     let start = Instant::now();
     let mut queue = EgressQueue::new(SLOW, start);
-    let long = queue.line_up(PIECE, 10 * PIECE, start + PATIENCE);
-    let short = queue.line_up(PIECE, PIECE, start + PATIENCE * 2);
-    queue.pass(10 * PIECE, start);
-    let EgressVerdict::NotBefore(looks) = queue.ask(long, start) else {
+    let long = queue.enqueue(PIECE, 10 * PIECE, start + PATIENCE);
+    let short = queue.enqueue(PIECE, PIECE, start + PATIENCE * 2);
+    queue.record_sent(10 * PIECE, start);
+    let EgressDecision::RetryAt(looks) = queue.try_send(long, start) else {
         panic!("it is not told when to look again");
     };
     assert!(looks > start && looks < start + PATIENCE);
-    assert_eq!(queue.ask(long, looks), EgressVerdict::Go);
-    assert_eq!(queue.ask(short, looks + PATIENCE), EgressVerdict::Go);
+    assert_eq!(queue.try_send(long, looks), EgressDecision::Send);
+    assert_eq!(
+        queue.try_send(short, looks + PATIENCE),
+        EgressDecision::Send
+    );
 }
 
 /// A caller leaves while its answer is first in line. The next must not wait
@@ -149,12 +152,12 @@
 fn a_cancelled_answer_holds_up_nobody() {
     let now = Instant::now();
     let mut queue = EgressQueue::new(SLOW, now);
-    let first = queue.line_up(PIECE, PIECE, now + PATIENCE);
-    let second = queue.line_up(PIECE, 4 * PIECE, now + PATIENCE);
-    let waits = queue.ask(second, now);
-    assert!(matches!(waits, EgressVerdict::NotBefore(at) if at > now));
+    let first = queue.enqueue(PIECE, PIECE, now + PATIENCE);
+    let second = queue.enqueue(PIECE, 4 * PIECE, now + PATIENCE);
+    let waits = queue.try_send(second, now);
+    assert!(matches!(waits, EgressDecision::RetryAt(at) if at > now));
     queue.cancel(first);
-    assert_eq!(queue.ask(second, now), EgressVerdict::Go);
+    assert_eq!(queue.try_send(second, now), EgressDecision::Send);
 }
 
 #[test]
@@ -162,8 +165,8 @@
     let now = Instant::now();
     let mut queue = EgressQueue::new(0.0, now);
     for _ in 0..100 {
-        let ticket = queue.line_up(PIECE, 100 * PIECE, now + PATIENCE);
-        assert_eq!(queue.ask(ticket, now), EgressVerdict::Go);
+        let ticket = queue.enqueue(PIECE, 100 * PIECE, now + PATIENCE);
+        assert_eq!(queue.try_send(ticket, now), EgressDecision::Send);
     }
     assert_eq!(queue.backlog(now), Duration::ZERO);
 }
@@ -191,12 +194,12 @@
             run: RunTime::of_unknown_spread(RUN),
             link: LinkTime {
                 wait: link.backlog(now).saturating_sub(RUN),
-                send: link.time_of(ANSWER),
+                send: link.transmission_time(ANSWER),
             },
         };
         match gate.offer(demand, RUN, now) {
             GateVerdict::Run => {
-                link.promise(ANSWER);
+                link.reserve(ANSWER);
                 taken += 1;
             }
             GateVerdict::Decline { reason, room_in } => {
--- a/crates/policy/tests/identity_cases.rs
+++ b/crates/policy/tests/identity_cases.rs
@@ -1,6 +1,6 @@
 //! Which calls share an identity.
 
-use filbert_policy::identity::{BadIdentity, CallIdentity, IdentityParts};
+use filbert_policy::identity::{CallIdentity, IdentityParts, ParseIdentityError};
 use rstest::rstest;
 
 const LOOKUP: IdentityParts<'static> = IdentityParts {
@@ -8,7 +8,7 @@
     host: "shop.example",
     target: "/read/a?b=c",
     caller: &["key-1"],
-    body_start: b"",
+    body_prefix: b"",
     body_length: Some(0),
 };
 
@@ -23,7 +23,7 @@
 #[case::path(IdentityParts { target: "/read/b?b=c", ..LOOKUP })]
 #[case::query(IdentityParts { target: "/read/a?b=d", ..LOOKUP })]
 #[case::caller(IdentityParts { caller: &["key-2"], ..LOOKUP })]
-#[case::body(IdentityParts { body_start: b"x", body_length: Some(1), ..LOOKUP })]
+#[case::body(IdentityParts { body_prefix: b"x", body_length: Some(1), ..LOOKUP })]
 #[case::longer_body(IdentityParts { body_length: Some(100_000), ..LOOKUP })]
 #[case::unknown_length(IdentityParts { body_length: None, ..LOOKUP })]
 #[case::moved_border(IdentityParts { host: "shop.exampl", target: "e/read/a?b=c", ..LOOKUP })]
@@ -43,5 +43,5 @@
 #[case("zz3456789abcdef00123456789abcdef")]
 #[case("ä123456789abcdef0123456789abcde")]
 fn other_text_is_no_identity(#[case] text: &str) {
-    assert_eq!(text.parse::<CallIdentity>(), Err(BadIdentity));
+    assert_eq!(text.parse::<CallIdentity>(), Err(ParseIdentityError));
 }
--- a/crates/policy/tests/key_cases.rs
+++ b/crates/policy/tests/key_cases.rs
@@ -35,7 +35,7 @@
     ]);
     let holder = index.holder(case.key).map(|holder| holder.name.as_str());
     assert_eq!(holder, case.holder);
-    assert_eq!(index.last_rank(), Some(3));
+    assert_eq!(index.lowest_priority(), Some(3));
 }
 
 /// Guards against keys in logs: a rule is printed when a test or a line fails.
--- a/crates/policy/tests/placement_replay.rs
+++ b/crates/policy/tests/placement_replay.rs
@@ -9,13 +9,15 @@
 
 use std::time::Duration;
 
-use filbert_policy::placement::{assumed_occupancy, choose, CallShape, CrossingCost, TargetView};
+use filbert_policy::placement::{
+    choose_target, estimated_occupancy, CrossZoneCost, PlacementRequest, TargetView,
+};
 use filbert_policy::refusal::come_back_after;
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 use rstest::rstest;
 
-const CROSSING: CrossingCost = CrossingCost {
+const CROSSING: CrossZoneCost = CrossZoneCost {
     base: 0.01,
     per_kib: 0.006,
     most: 0.9,
@@ -27,9 +29,9 @@
         slots: 9,
         occupancy: 0.0,
         run_ms,
-        spread_ms: run_ms * 0.75,
-        turn_ms: run_ms,
-        ill_share: 0.0,
+        mean_deviation_ms: run_ms * 0.75,
+        queue_run_ms: run_ms,
+        failure_rate: 0.0,
         is_cold: false,
         is_leaving: false,
         link_ms: 0.0,
@@ -37,13 +39,13 @@
     }
 }
 
-fn call(carried_kib: f64) -> CallShape {
-    CallShape {
-        carried_kib,
-        aim_ms: 600.0,
-        left_ms: 2_000.0,
-        is_served_at_home: true,
-        goes_before: false,
+fn call(transfer_kib: f64) -> PlacementRequest {
+    PlacementRequest {
+        transfer_kib,
+        soft_deadline_ms: 600.0,
+        deadline_ms: 2_000.0,
+        zone_has_target: true,
+        is_above_lowest_priority: false,
     }
 }
 
@@ -86,7 +88,7 @@
 #[case(ChoiceCase {
     story: "a target that fails half of its calls though it looks idle",
     first: TargetView { occupancy: 8.0, ..view(200.0) },
-    second: TargetView { ill_share: 0.5, ..view(200.0) },
+    second: TargetView { failure_rate: 0.5, ..view(200.0) },
     answer_kib: 1.0, first_at_least: 0.95,
 })]
 #[case(ChoiceCase {
@@ -106,7 +108,7 @@
     let views = [case.first, case.second];
     let tries = 400;
     let first = (0..tries)
-        .filter(|_| choose(&views, &call(case.answer_kib), &CROSSING, &mut rng) == Some(0))
+        .filter(|_| choose_target(&views, &call(case.answer_kib), &CROSSING, &mut rng) == Some(0))
         .count();
     let share = first as f64 / f64::from(tries);
     assert!(share >= case.first_at_least, "{}: {share}", case.story);
@@ -144,11 +146,11 @@
             let daemon = (step / 6) as usize % 10;
             let views: Vec<TargetView> = (0..targets)
                 .map(|target| TargetView {
-                    occupancy: assumed_occupancy(reported[target], own[daemon][target], 10),
+                    occupancy: estimated_occupancy(reported[target], own[daemon][target], 10),
                     ..view(run_ms)
                 })
                 .collect();
-            let target = choose(&views, &call(5.0), &CROSSING, &mut rng).expect("a target");
+            let target = choose_target(&views, &call(5.0), &CROSSING, &mut rng).expect("a target");
             own[daemon][target] += 1;
             running[target].push(now + run_ms);
             worst = worst.max(running[target].len());
@@ -161,9 +163,9 @@
 struct LeavingCase {
     story: &'static str,
     occupancy: f64,
-    carried_kib: f64,
-    is_served_at_home: bool,
-    goes_before: bool,
+    transfer_kib: f64,
+    zone_has_target: bool,
+    is_above_lowest_priority: bool,
     leaves: bool,
 }
 
@@ -173,26 +175,26 @@
 #[rstest]
 #[case(LeavingCase {
     story: "a slot is free there",
-    occupancy: 6.0, carried_kib: 2.0, is_served_at_home: true, goes_before: false, leaves: true,
+    occupancy: 6.0, transfer_kib: 2.0, zone_has_target: true, is_above_lowest_priority: false, leaves: true,
 })]
 #[case(LeavingCase {
     story: "calls wait there as they do at home",
-    occupancy: 11.0, carried_kib: 2.0, is_served_at_home: true, goes_before: false, leaves: false,
+    occupancy: 11.0, transfer_kib: 2.0, zone_has_target: true, is_above_lowest_priority: false, leaves: false,
 })]
 #[case(LeavingCase {
     story: "it goes before those that wait there",
-    occupancy: 11.0, carried_kib: 2.0, is_served_at_home: true, goes_before: true, leaves: true,
+    occupancy: 11.0, transfer_kib: 2.0, zone_has_target: true, is_above_lowest_priority: true, leaves: true,
 })]
 #[case(LeavingCase {
     story: "it goes before them, but its way costs all that it is worth",
-    occupancy: 11.0, carried_kib: 9.0, is_served_at_home: true, goes_before: true, leaves: false,
+    occupancy: 11.0, transfer_kib: 9.0, zone_has_target: true, is_above_lowest_priority: true, leaves: false,
 })]
 #[case(LeavingCase {
     story: "nobody at home takes such calls",
-    occupancy: 11.0, carried_kib: 9.0, is_served_at_home: false, goes_before: false, leaves: true,
+    occupancy: 11.0, transfer_kib: 9.0, zone_has_target: false, is_above_lowest_priority: false, leaves: true,
 })]
 fn a_call_leaves_its_zone_for_what_runs_it_at_once(#[case] case: LeavingCase) {
-    let crossing = CrossingCost {
+    let crossing = CrossZoneCost {
         base: 0.25,
         per_kib: 0.2,
         most: 0.9,
@@ -202,13 +204,13 @@
         occupancy: case.occupancy,
         ..view(150.0)
     };
-    let call = CallShape {
-        is_served_at_home: case.is_served_at_home,
-        goes_before: case.goes_before,
-        ..call(case.carried_kib)
+    let call = PlacementRequest {
+        zone_has_target: case.zone_has_target,
+        is_above_lowest_priority: case.is_above_lowest_priority,
+        ..call(case.transfer_kib)
     };
     let mut rng = StdRng::seed_from_u64(3);
-    let choice = choose(&[there], &call, &crossing, &mut rng);
+    let choice = choose_target(&[there], &call, &crossing, &mut rng);
     assert_eq!(choice.is_some(), case.leaves, "{}", case.story);
 }
 
@@ -217,29 +219,29 @@
 /// in a minute, for a target that was no sooner done.
 #[test]
 fn a_short_call_stays_at_home_behind_long_ones() {
-    let crossing = CrossingCost {
+    let crossing = CrossZoneCost {
         base: 0.25,
         per_kib: 0.2,
         most: 0.9,
     };
     let home = TargetView {
         occupancy: 19.0,
-        turn_ms: 150.0,
+        queue_run_ms: 150.0,
         ..view(30.0)
     };
     let away = TargetView {
         in_zone: false,
-        turn_ms: 150.0,
+        queue_run_ms: 150.0,
         ..view(30.0)
     };
-    let lookup = CallShape {
-        aim_ms: 120.0,
-        left_ms: 400.0,
+    let lookup = PlacementRequest {
+        soft_deadline_ms: 120.0,
+        deadline_ms: 400.0,
         ..call(0.5)
     };
     let mut rng = StdRng::seed_from_u64(5);
     for _ in 0..100 {
-        let choice = choose(&[home, away], &lookup, &crossing, &mut rng);
+        let choice = choose_target(&[home, away], &lookup, &crossing, &mut rng);
         assert_eq!(choice, Some(0));
     }
 }
@@ -247,7 +249,7 @@
 #[test]
 fn without_a_target_there_is_no_choice() {
     let mut rng = StdRng::seed_from_u64(1);
-    assert_eq!(choose(&[], &call(1.0), &CROSSING, &mut rng), None);
+    assert_eq!(choose_target(&[], &call(1.0), &CROSSING, &mut rng), None);
 }
 
 /// A burst is refused within a moment. Its callers must not all return at one
--- a/crates/policy/tests/quarantine_cases.rs
+++ b/crates/policy/tests/quarantine_cases.rs
@@ -17,7 +17,7 @@
         host: "shop.example",
         target: &format!("/read/{number}"),
         caller: &[],
-        body_start: b"",
+        body_prefix: b"",
         body_length: Some(0),
     })
 }
--- a/crates/policy/tests/quarantine_replay.rs
+++ b/crates/policy/tests/quarantine_replay.rs
@@ -33,7 +33,7 @@
         host: "shop.example",
         target: name,
         caller: &[],
-        body_start: b"",
+        body_prefix: b"",
         body_length: Some(0),
     })
 }
--- a/crates/policy/tests/quota_replay.rs
+++ b/crates/policy/tests/quota_replay.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use filbert_policy::numbers::count_of;
+use filbert_policy::numbers::count_to_f64;
 use filbert_policy::organisations::keys::RateLimit;
 use filbert_policy::organisations::quota::{
     PoolLeases, PoolPart, QuotaTerms, TokenGrant, TokenPool, COUNTED_FOR,
@@ -200,7 +200,7 @@
             }
         }
         let most = replay.most_in_window();
-        prop_assert!(count_of(most) <= allowed(limit), "{most} of {}", allowed(limit));
+        prop_assert!(count_to_f64(most) <= allowed(limit), "{most} of {}", allowed(limit));
     }
 }
 
@@ -244,7 +244,7 @@
             replay.call(host, step);
         }
     }
-    let per_s = count_of(replay.runs.len()) / 30.0;
+    let per_s = count_to_f64(replay.runs.len()) / 30.0;
     // In every window of five seconds the burst is there anew.
     assert!((200.0..=240.0).contains(&per_s), "{per_s} a second");
 }
--- a/tests/mesh_organisations.rs
+++ b/tests/mesh_organisations.rs
@@ -9,7 +9,7 @@
 use filbert_platform_standin::{
     keyed_text, Answer, Client, Host, OrganisationSpec, RouteSpec, StoreFault,
 };
-use filbert_policy::numbers::count_of;
+use filbert_policy::numbers::count_to_f64;
 use rstest::rstest;
 use users::{eventually, eventually_logs, fleet, reload_with, Fleet, SETTLE_WITHIN};
 
@@ -175,7 +175,7 @@
             }
         }
     }
-    let runs = count_of(fleet.runs_of("many"));
+    let runs = count_to_f64(fleet.runs_of("many"));
     let allowed = 20.0 * FOR.as_secs_f64() + 10.0;
     assert!(runs <= allowed * 1.1 + 20.0, "{runs} of {allowed}");
     assert!(runs >= allowed * 0.4, "{runs} of {allowed}");
