--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -1,4 +1,4 @@
-//! Versions of the configuration and the lookup of a call's route.
+//! Configuration versions and the lookup of the route for a call.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,85 +6,87 @@
 
 use crate::organisations::keys::{KeyIndex, OrganisationRule};
 
-/// What may be repeated on a route.
+/// Type of a route, which determines whether its calls may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
     /// Calls may run more than once.
     Idempotent,
     /// Calls run at most once.
     NonIdempotent,
-    /// Large answers; calls may run more than once.
+    /// Calls have large answers and may run more than once.
     Download,
 }
 
 impl RouteKind {
-    /// Whether running a call twice does no harm.
+    /// Whether a call on such a route may safely run more than once.
     #[must_use]
     pub fn is_repeatable(self) -> bool {
         !matches!(self, RouteKind::NonIdempotent)
     }
 }
 
-/// One destination of a route and its share.
+/// A service that a route sends calls to, with its weight.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoutePart {
-    /// The service whose targets take this part.
+    /// The name of the service.
     pub service: String,
-    /// Its share, relative to the route's other parts.
+    /// Share of the route's calls, relative to the weights of its other parts.
     pub weight: u32,
 }
 
-/// One route.
+/// A rule that sends calls with a given host and path prefix to services.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteRule {
-    /// The route's name, unique in a version.
+    /// The route's name, unique within a configuration version.
     pub name: String,
-    /// The host that callers name.
+    /// The host name in the caller's request, matched without regard to case.
     pub host: String,
     /// The path prefix, with a slash at both ends.
     pub prefix: String,
-    /// What may be repeated.
+    /// The route type, which determines whether calls may run more than once.
     pub kind: RouteKind,
-    /// The longest a call may be kept waiting.
+    /// Maximum time from a call's arrival until its deadline.
     pub timeout: Duration,
-    /// The time within which an answer is worth most.
+    /// Time from a call's arrival until its soft deadline; an earlier answer has
+    /// its full value (`target_latency` in the settings).
     pub aim: Duration,
-    /// Targets a call may be sent to at most.
+    /// Maximum number of targets that a call is sent to.
     pub max_attempts: u32,
-    /// Rank of its calls; 0 goes first.
+    /// Priority of the route's calls; 0 is the highest.
     pub priority: u8,
-    /// Where its calls go; never empty.
+    /// The services that receive the route's calls; never empty.
     pub parts: Vec<RoutePart>,
-    /// Whether its calls need no key.
+    /// Whether calls are accepted without an API key.
     pub is_public: bool,
 }
 
-/// One service.
+/// Settings of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceRule {
-    /// Its name.
+    /// The service's name.
     pub name: String,
-    /// Path of its health check.
+    /// Path of the targets' health check.
     pub health_path: String,
-    /// Connections one target takes from everybody together.
+    /// Maximum number of connections to one target from all its clients together.
     pub max_connections: u32,
 }
 
-/// What callers may send, and how slowly.
+/// Limits on the size and duration of client requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// Bytes of a head.
+    /// Maximum length of a request head, in bytes.
     pub head_bytes: usize,
-    /// Bytes of a body.
+    /// Maximum length of a request body, in bytes.
     pub body_bytes: u64,
-    /// Time from a head's first byte to its last.
+    /// Maximum time from the first byte of a request head to its last.
     pub head_timeout: Duration,
-    /// Time a connection may stay open without a call.
+    /// Maximum time that a connection may stay open without a call.
     pub idle_timeout: Duration,
 }
 
 impl Default for ClientLimits {
-    /// Limits until a version is known: the usual of small HTTP servers.
+    /// Limits that apply until a configuration version is known: values that are
+    /// common in small HTTP servers.
     fn default() -> Self {
         ClientLimits {
             head_bytes: 16 * 1024,
@@ -95,22 +97,22 @@
     }
 }
 
-/// One whole version of the configuration.
+/// A complete version of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigVersion {
-    /// Its number; numbers only grow.
+    /// The version number; a later version has a higher number.
     pub number: u64,
-    /// Every route; those that stay are shared with the version before.
+    /// All routes; an unchanged route is shared with the previous version.
     pub routes: Vec<Arc<RouteRule>>,
-    /// Every service.
+    /// All services.
     pub services: Vec<ServiceRule>,
-    /// What callers may send.
+    /// Limits on client requests.
     pub limits: ClientLimits,
-    /// Every organisation; with none, no call needs a key.
+    /// All organisations; if there are none, no call needs an API key.
     pub organisations: Vec<Arc<OrganisationRule>>,
 }
 
-/// A version compiled for lookups.
+/// A configuration version, indexed for route lookup.
 #[derive(Debug, Default)]
 pub struct RouteIndex {
     number: u64,
@@ -122,12 +124,12 @@
 }
 
 impl RouteIndex {
-    /// Compiles `version`.
+    /// Builds the index of `version`.
     #[must_use]
     pub fn compile(version: ConfigVersion) -> RouteIndex {
         let organisations = KeyIndex::compile(version.organisations);
-        let ranks = version.routes.iter().map(|route| route.priority);
-        let lowest_priority = ranks.chain(organisations.lowest_priority()).max();
+        let priorities = version.routes.iter().map(|route| route.priority);
+        let lowest_priority = priorities.chain(organisations.lowest_priority()).max();
         let mut hosts: HashMap<String, HashMap<String, Arc<RouteRule>>> = HashMap::new();
         for route in version.routes {
             hosts
@@ -145,61 +147,63 @@
         }
     }
 
-    /// The version's number; 0 for the empty index.
+    /// The version number; 0 for an empty index.
     #[must_use]
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// Whether the version names `service`.
+    /// Whether the version contains a service of this name.
     #[must_use]
     pub fn has_service(&self, service: &str) -> bool {
         self.services.iter().any(|rule| rule.name == service)
     }
 
-    /// Organisations and their keys.
+    /// The organisations and their API keys.
     #[must_use]
     pub fn organisations(&self) -> &KeyIndex {
         &self.organisations
     }
 
-    /// The least urgent rank of any call.
+    /// The lowest priority (highest number) of any route or organisation.
     #[must_use]
     pub fn lowest_priority(&self) -> u8 {
         self.lowest_priority
     }
 
-    /// Longest time for which a call to `service` is worked on.
+    /// The longest timeout of the routes that lead to `service`; zero if there is
+    /// none.
     #[must_use]
     pub fn longest_timeout(&self, service: &str) -> Duration {
         let routes = self.hosts.values().flat_map(HashMap::values);
-        let leads_there = |route: &&Arc<RouteRule>| {
+        let leads_to_service = |route: &&Arc<RouteRule>| {
             let mut parts = route.parts.iter();
             parts.any(|part| part.service == service)
         };
-        let timeouts = routes.filter(leads_there).map(|route| route.timeout);
+        let timeouts = routes.filter(leads_to_service).map(|route| route.timeout);
         timeouts.max().unwrap_or_default()
     }
 
-    /// What callers may send.
+    /// Limits on client requests.
     #[must_use]
     pub fn limits(&self) -> &ClientLimits {
         &self.limits
     }
 
-    /// The route with the longest prefix that begins `target` (a path with or
-    /// without a query) on `host` (with or without a port).
+    /// Returns the route of `host` (with or without a port) whose prefix is the
+    /// longest one matching `path_and_query`; `None` if there is no match.
     ///
-    /// Prefixes end with a slash, so only the path's own cuts are tried: the
-    /// cost grows with the path's depth, not with the number of routes.
+    /// Prefixes end with a slash, so only the positions of slashes in the path
+    /// are tried. The cost grows with the depth of the path, not with the number
+    /// of routes.
     #[must_use]
-    pub fn lookup(&self, host: &str, target: &str) -> Option<&Arc<RouteRule>> {
+    pub fn lookup(&self, host: &str, path_and_query: &str) -> Option<&Arc<RouteRule>> {
         let host = host.split(':').next().unwrap_or_default();
         let routes = match self.hosts.get(host) {
             Some(routes) => routes,
             None => self.hosts.get(&host.to_ascii_lowercase())?,
         };
-        let path = target.split(['?', '#']).next().unwrap_or_default();
+        let path = path_and_query.split(['?', '#']).next().unwrap_or_default();
         let mut end = path.len();
         while let Some(slash) = path[..end].rfind('/') {
             if let Some(route) = routes.get(&path[..=slash]) {
--- a/crates/policy/src/weights.rs
+++ b/crates/policy/src/weights.rs
@@ -1,76 +1,82 @@
-//! Which part of a split route a call goes to.
+//! Distributes the calls of a route among its weighted services.
 
 use std::collections::HashMap;
 
 use crate::routing::{RoutePart, RouteRule};
 
-/// Deals each route's calls to its parts by smooth weighted round robin.
+/// Selects the service for each call of a route by smooth weighted round robin.
 ///
-/// Load pattern: a route split 90 to 10. Random draws miss the shares by
-/// several points over a few hundred calls; dealing in turn keeps each daemon
-/// within one call of them at any moment, and so their sum too.
+/// On a route with weights 90 and 10, random selection misses the configured
+/// shares by several percentage points over a few hundred calls. Round robin
+/// keeps each daemon within one call of the shares at any time, and so keeps
+/// the total of all daemons close to them.
 #[derive(Debug, Default)]
 pub struct WeightedRoundRobin {
-    routes: HashMap<String, Vec<DealtPart>>,
+    routes: HashMap<String, Vec<ServiceState>>,
 }
 
 #[derive(Debug)]
-struct DealtPart {
+struct ServiceState {
     service: String,
     weight: i64,
-    credit: i64,
+    /// Grows by `weight` with each call, and drops by the sum of
+    /// all weights when the service is selected.
+    current_weight: i64,
 }
 
 impl WeightedRoundRobin {
-    /// The service that takes the next call of `route`. `start` (any number)
-    /// sets where in its round a fresh dealer begins, so that daemons started
-    /// together do not all begin with the same part.
+    /// Selects the service that receives the next call of `route`.
+    ///
+    /// `start` is an arbitrary number that sets the position in the round at
+    /// which a new route begins, so that daemons started together do not all
+    /// begin with the same service.
     pub fn next_service<'a>(&mut self, route: &'a RouteRule, start: u64) -> &'a str {
         if let [only] = route.parts.as_slice() {
             return &only.service;
         }
-        let dealt = self.routes.entry(route.name.clone()).or_default();
-        if !matches_parts(dealt, &route.parts) {
-            *dealt = fresh_parts(&route.parts, start);
+        let states = self.routes.entry(route.name.clone()).or_default();
+        if !has_weights_of(states, &route.parts) {
+            *states = initial_states(&route.parts, start);
         }
-        &route.parts[next_part(dealt)].service
+        &route.parts[next_index(states)].service
     }
 }
 
-/// Deals one call.
-fn next_part(dealt: &mut [DealtPart]) -> usize {
-    let total: i64 = dealt.iter().map(|part| part.weight).sum();
+/// Returns the index of the service that receives the next call.
+fn next_index(states: &mut [ServiceState]) -> usize {
+    let total: i64 = states.iter().map(|state| state.weight).sum();
     let mut best = 0;
-    for index in 0..dealt.len() {
-        dealt[index].credit += dealt[index].weight;
-        if dealt[index].credit > dealt[best].credit {
+    for index in 0..states.len() {
+        states[index].current_weight += states[index].weight;
+        if states[index].current_weight > states[best].current_weight {
             best = index;
         }
     }
-    dealt[best].credit -= total;
+    states[best].current_weight -= total;
     best
 }
 
-fn matches_parts(dealt: &[DealtPart], parts: &[RoutePart]) -> bool {
-    dealt.len() == parts.len()
-        && dealt.iter().zip(parts).all(|(dealt, part)| {
-            dealt.service == part.service && dealt.weight == i64::from(part.weight)
+fn has_weights_of(states: &[ServiceState], parts: &[RoutePart]) -> bool {
+    states.len() == parts.len()
+        && states.iter().zip(parts).all(|(state, part)| {
+            state.service == part.service && state.weight == i64::from(part.weight)
         })
 }
 
-fn fresh_parts(parts: &[RoutePart], start: u64) -> Vec<DealtPart> {
-    /// Calls that a fresh dealer skips at most: a whole round of percentages.
-    const MOST_SKIPPED: u64 = 100;
-    let mut dealt: Vec<DealtPart> = parts
+fn initial_states(parts: &[RoutePart], start: u64) -> Vec<ServiceState> {
+    /// Upper limit of the calls skipped at the start: one whole round when the
+    /// weights are percentages.
+    const MAX_SKIPPED_CALLS: u64 = 100;
+    let mut states: Vec<ServiceState> = parts
         .iter()
-        .map(|part| DealtPart {
+        .map(|part| ServiceState {
             service: part.service.clone(),
             weight: i64::from(part.weight),
-            credit: 0,
+            current_weight: 0,
         })
         .collect();
-    for _ in 0..start % MOST_SKIPPED {
-        next_part(&mut dealt);
+    for _ in 0..start % MAX_SKIPPED_CALLS {
+        next_index(&mut states);
     }
-    dealt
+    states
 }
