--- a/crates/mesh/src/serve_peers.rs
+++ b/crates/mesh/src/serve_peers.rs
@@ -103,9 +103,9 @@
     let work = async {
         let body = read_body(&call, incoming, buffer).await?;
         let link = shared.gate.link_time(&call);
-        let reserve = shared.egress.reserve(call.answer_bytes);
+        let reservation = shared.egress.reserve(call.answer_bytes);
         let done = shared.gate.run(&call, body, link).await;
-        drop(reserve);
+        drop(reservation);
         Ok::<_, LinkError>(done)
     };
     // Guards against work for a caller that has left: its daemon resets the
--- a/crates/policy/src/clock.rs
+++ b/crates/policy/src/clock.rs
@@ -1,21 +1,21 @@
-//! The clock, passed in so that tests can drive time.
+//! The clock interface, passed as a dependency so that tests can control time.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use nix::time::{clock_gettime, ClockId};
 
-/// Where the daemon reads time from.
+/// Source of the time for the daemon.
 pub trait Clock: Send + Sync + 'static {
     /// Monotonic time, for intervals and leases.
     fn now(&self) -> Instant;
-    /// Wall time, for times written to the platform's table.
+    /// Wall-clock time, for timestamps written to the platform's table.
     fn wall(&self) -> SystemTime;
 
-    /// Time since the host's start. It goes on while the host is suspended, as
-    /// monotonic time may not.
+    /// Time since the host booted. It includes time during which the host was
+    /// suspended, which monotonic time may not.
     fn since_boot(&self) -> Duration;
 
-    /// Both clocks, read together.
+    /// Reads the monotonic and the wall clock together.
     fn reading(&self) -> ClockReading {
         ClockReading {
             now: self.now(),
@@ -24,17 +24,17 @@
     }
 }
 
-/// Both clocks at one moment.
+/// Monotonic and wall-clock time at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockReading {
     /// Monotonic time.
     pub now: Instant,
-    /// Wall time.
+    /// Wall-clock time.
     pub wall: SystemTime,
 }
 
 impl ClockReading {
-    /// Wall time in milliseconds since the Unix epoch.
+    /// Wall-clock time in milliseconds since the Unix epoch; 0 for earlier times.
     #[must_use]
     pub fn wall_ms(&self) -> u64 {
         let since = self
@@ -59,10 +59,11 @@
     }
 
     /// # Panics
-    /// Never: every Linux kernel that runs the daemon has this clock.
+    /// Only if the kernel has no `CLOCK_BOOTTIME`, which every Linux kernel that
+    /// can run the daemon has.
     fn since_boot(&self) -> Duration {
         clock_gettime(ClockId::CLOCK_BOOTTIME)
-            .expect("the clock exists")
+            .expect("CLOCK_BOOTTIME exists")
             .into()
     }
 }
--- a/crates/policy/src/egress.rs
+++ b/crates/policy/src/egress.rs
@@ -1,105 +1,112 @@
-//! In which order and at which pace answers leave a host with a slow link.
+//! Schedules and paces the answers that a host sends over a slow link.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use crate::numbers::bytes_to_f64;
 
-/// Part of the link's rate that answers get. The rest is for packet headers,
-/// calls sent elsewhere, news and pings. Short answers are counted within the
-/// share.
-const PACED_SHARE: f64 = 0.93;
-/// Time by which pieces may be handed over before the link is free, so that
-/// it does not idle while the next piece is on its way to it.
-const AHEAD: Duration = Duration::from_millis(15);
+/// Fraction of the link's rate that is used for answers, including short ones.
+/// The rest is left for packet headers, outgoing calls, state updates and pings.
+const ANSWER_RATE_FRACTION: f64 = 0.93;
+/// How long before the link is free a chunk may be sent, so that the link does
+/// not idle until the next chunk reaches it.
+const SEND_AHEAD: Duration = Duration::from_millis(15);
 
-/// Answers up to this length, in bytes, are not paced: they are out in some
-/// milliseconds on the slowest link, and are what others wait for most.
+/// Longest answer, in bytes, that is sent without pacing. An answer of this
+/// length takes some milliseconds on the slowest link, and short answers are the
+/// ones whose delay matters most to callers.
 pub const MAX_UNPACED_BYTES: u64 = 8 * 1024;
 
-/// How many times as long as an answer's rest takes on the link may be left until
-/// it is due when it goes first: others may have to go first as well.
-const SPARE: f64 = 1.5;
-/// Time between an answer's last piece and the end of its caller's wait that
-/// covers the way there, over hosts with a tenth of a core.
-const WAY_HOME: Duration = Duration::from_millis(700);
-
-/// Names an answer that waits for the link.
+/// Factor on the transmission time of an answer's remaining bytes: the answer is
+/// urgent when no more than this time, plus [`DELIVERY_TIME`], is left until it
+/// is due. It exceeds 1 because several answers may be urgent at once.
+const URGENT_TIME_FACTOR: f64 = 1.5;
+/// Time reserved between the sending of an answer's last chunk and the moment
+/// when the answer is due. It covers the delivery to the caller through hosts
+/// that have a tenth of a core.
+const DELIVERY_TIME: Duration = Duration::from_millis(700);
+
+/// Identifies an answer's chunk in the queue. Tickets sort by remaining bytes,
+/// then by age.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EgressTicket {
-    /// Bytes left of the answer; the shortest goes first.
+    /// Remaining bytes of the answer; the answer with the fewest is sent first.
     left: u64,
+    /// Sequence number, in the order of enqueueing.
     number: u64,
 }
 
-/// What becomes of a piece that wants to leave.
+/// Whether a chunk may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EgressDecision {
-    /// It may go now.
+    /// The chunk may be sent now.
     Send,
-    /// Not before this moment, if nothing changes.
+    /// The chunk may be sent at this time at the earliest, unless the queue
+    /// changes; ask again then.
     RetryAt(Instant),
-    /// Others that are due go first.
+    /// Other chunks that are urgent are sent first; ask again when the queue
+    /// changes.
     Blocked,
 }
 
-/// A piece in the line.
+/// A chunk in the queue.
 #[derive(Clone, Copy, Debug)]
-struct WaitingPiece {
-    /// Its length.
+struct WaitingChunk {
+    /// Length of the chunk.
     bytes: u64,
-    /// When its answer goes first.
-    first_at: Instant,
+    /// Time from which the chunk's answer is urgent and is sent before those that
+    /// are not.
+    urgent_at: Instant,
 }
 
-/// The answers that wait for one host's link.
+/// Queue of the answers that wait to be sent over a host's link.
 ///
-/// Load pattern: a host with a link of 7.5 Mbit/s beside a target whose
-/// answers have 90 KB. Nine runs end within a moment; written at once, their
-/// answers fill the link for a second, and pings, heads and short answers
-/// wait behind them: the host looks dead to all others, calls leave it, and
-/// what it had done is done again elsewhere. So long answers go out piece by
-/// piece at the link's pace, the one with the least left first, which brings
-/// most of them home early; what is short goes past them.
+/// Long answers are sent in chunks at the link's rate, in the order of shortest
+/// remaining size, so that most of them finish early. Short answers bypass the
+/// queue. Without pacing, nine answers of 90 KB that a target finishes at about
+/// the same time fill a link of 7.5 Mbit/s for a second. Pings, heads and short
+/// answers are delayed behind them, other hosts consider this host dead and move
+/// their calls away, and calls that it has already run are run again elsewhere.
 ///
-/// Load pattern: calls for such answers come faster than the link carries them
-/// for many seconds. Shortest first by itself, an answer that is longer than
-/// most waits for as long as that lasts, past its caller's patience or the end
-/// of its caller's host. So one that is nearly due goes first, the first due of
-/// several.
+/// An answer that is nearly due becomes urgent and is sent before all others; of
+/// several urgent answers, the one that became urgent first. Without this rule,
+/// an answer that is longer than most would starve while shorter ones arrive
+/// faster than the link can send them, until its caller times out or the
+/// caller's host stops.
 #[derive(Debug)]
 pub struct EgressQueue {
-    /// Bytes a second; `None` when the link is no limit.
+    /// Bytes per second; `None` if the link is not limited.
     rate: Option<f64>,
+    /// Time at which the link has sent everything handed over to it.
     free_at: Instant,
-    waiting: BTreeMap<EgressTicket, WaitingPiece>,
-    /// Bytes of answers that are still to be made.
-    promised: u64,
+    waiting: BTreeMap<EgressTicket, WaitingChunk>,
+    /// Expected bytes of answers that are not complete yet.
+    reserved: u64,
     next_number: u64,
 }
 
 impl EgressQueue {
-    /// An idle link of `mbps` Mbit/s; 0 when it is no limit.
+    /// Creates an empty queue for a link of `mbps` Mbit/s; 0 means no limit.
     #[must_use]
     pub fn new(mbps: f64, now: Instant) -> EgressQueue {
         let mut queue = EgressQueue {
             rate: None,
             free_at: now,
             waiting: BTreeMap::new(),
-            promised: 0,
+            reserved: 0,
             next_number: 0,
         };
         queue.set_rate(mbps);
         queue
     }
 
-    /// Sets the link's rate in Mbit/s; 0 when it is no limit.
+    /// Sets the link's rate in Mbit/s; 0 means no limit.
     pub fn set_rate(&mut self, mbps: f64) {
-        const BYTES_OF_MBIT: f64 = 1_000_000.0 / 8.0;
-        self.rate = (mbps > 0.0).then_some(mbps * BYTES_OF_MBIT * PACED_SHARE);
+        const BYTES_PER_MBIT: f64 = 1_000_000.0 / 8.0;
+        self.rate = (mbps > 0.0).then_some(mbps * BYTES_PER_MBIT * ANSWER_RATE_FRACTION);
     }
 
-    /// Time that `bytes` take on the link.
+    /// Time that the link needs to send `bytes`; zero if the link is not limited.
     #[must_use]
     pub fn transmission_time(&self, bytes: u64) -> Duration {
         match self.rate {
@@ -108,15 +115,16 @@
         }
     }
 
-    /// Time until all is out that waits or was promised.
+    /// Time until the link has sent all queued and reserved bytes.
     #[must_use]
     pub fn backlog(&self, now: Instant) -> Duration {
         let waiting: u64 = self.waiting.keys().map(|ticket| ticket.left).sum();
         self.free_at.saturating_duration_since(now)
-            + self.transmission_time(waiting + self.promised)
+            + self.transmission_time(waiting + self.reserved)
     }
 
-    /// Time that an answer of `bytes` would wait for others before it leaves.
+    /// Time that an answer of `bytes` would wait in the queue; zero for an answer
+    /// that is not paced.
     #[must_use]
     pub fn queueing_delay(&self, bytes: u64, now: Instant) -> Duration {
         if bytes <= MAX_UNPACED_BYTES {
@@ -126,23 +134,24 @@
         }
     }
 
-    /// Counts an answer that will want to leave.
+    /// Reserves link time for an answer of `bytes` that is not complete yet.
     pub fn reserve(&mut self, bytes: u64) {
-        self.promised += bytes;
+        self.reserved += bytes;
     }
 
-    /// Takes back a promise: the answer begins to leave, or will not.
+    /// Releases a reservation, when the answer starts to be sent or will not be
+    /// sent at all.
     pub fn release(&mut self, bytes: u64) {
-        self.promised = self.promised.saturating_sub(bytes);
+        self.reserved = self.reserved.saturating_sub(bytes);
     }
 
-    /// Counts bytes that leave at once.
+    /// Accounts for `bytes` that are sent at `now`.
     pub fn record_sent(&mut self, bytes: u64, now: Instant) {
         self.free_at = self.free_at.max(now) + self.transmission_time(bytes);
     }
 
-    /// Lines up `bytes` of an answer of which `left` bytes are left, and whose
-    /// caller waits until `due`.
+    /// Enqueues a chunk of `bytes` of an answer that has `left` bytes remaining
+    /// and whose caller waits until `due`.
     pub fn enqueue(&mut self, bytes: u64, left: u64, due: Instant) -> EgressTicket {
         let left = left.max(bytes);
         let ticket = EgressTicket {
@@ -150,41 +159,44 @@
             number: self.next_number,
         };
         self.next_number += 1;
-        let spare = self.transmission_time(left).mul_f64(SPARE) + WAY_HOME;
-        let piece = WaitingPiece {
+        let urgent_time = self.transmission_time(left).mul_f64(URGENT_TIME_FACTOR) + DELIVERY_TIME;
+        let chunk = WaitingChunk {
             bytes,
-            first_at: due.checked_sub(spare).unwrap_or(due),
+            urgent_at: due.checked_sub(urgent_time).unwrap_or(due),
         };
-        self.waiting.insert(ticket, piece);
+        self.waiting.insert(ticket, chunk);
         ticket
     }
 
-    /// The piece that leaves next.
-    fn front(&self, now: Instant) -> Option<EgressTicket> {
-        let is_due = |(_, piece): &(&EgressTicket, &WaitingPiece)| piece.first_at <= now;
-        let due = self.waiting.iter().filter(is_due);
-        let first_due = due.min_by_key(|(ticket, piece)| (piece.first_at, ticket.number));
-        first_due
+    /// The chunk to be sent next; `None` if the queue is empty.
+    fn next_chunk(&self, now: Instant) -> Option<EgressTicket> {
+        let is_urgent = |(_, chunk): &(&EgressTicket, &WaitingChunk)| chunk.urgent_at <= now;
+        let urgent = self.waiting.iter().filter(is_urgent);
+        let most_urgent = urgent.min_by_key(|(ticket, chunk)| (chunk.urgent_at, ticket.number));
+        most_urgent
             .or_else(|| self.waiting.first_key_value())
             .map(|(ticket, _)| *ticket)
     }
 
-    /// Whether the piece of `ticket` may leave; if so it is not lined up any
-    /// more.
+    /// Checks whether the chunk of `ticket` may be sent, and if so removes it from
+    /// the queue. The result is [`EgressDecision::Send`] as well if the chunk is
+    /// no longer in the queue.
     pub fn try_send(&mut self, ticket: EgressTicket, now: Instant) -> EgressDecision {
-        let Some(WaitingPiece { bytes, first_at }) = self.waiting.get(&ticket).copied() else {
+        let Some(WaitingChunk { bytes, urgent_at }) = self.waiting.get(&ticket).copied() else {
             return EgressDecision::Send;
         };
         if self.rate.is_some() {
-            if self.front(now) != Some(ticket) {
-                return if first_at > now {
-                    EgressDecision::RetryAt(first_at)
+            if self.next_chunk(now) != Some(ticket) {
+                return if urgent_at > now {
+                    EgressDecision::RetryAt(urgent_at)
                 } else {
                     EgressDecision::Blocked
                 };
             }
-            if self.free_at > now + AHEAD {
-                return EgressDecision::RetryAt(self.free_at.checked_sub(AHEAD).unwrap_or(now));
+            if self.free_at > now + SEND_AHEAD {
+                return EgressDecision::RetryAt(
+                    self.free_at.checked_sub(SEND_AHEAD).unwrap_or(now),
+                );
             }
         }
         self.waiting.remove(&ticket);
@@ -192,7 +204,7 @@
         EgressDecision::Send
     }
 
-    /// Takes a piece out of the line.
+    /// Removes a chunk from the queue.
     pub fn cancel(&mut self, ticket: EgressTicket) {
         self.waiting.remove(&ticket);
     }
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -1,39 +1,40 @@
-//! What a target's own calls say about it.
+//! Failure rate of a target, derived from the outcomes of its calls.
 
-/// Weight of the newest outcome in the share of failures.
-const NEWEST_OUTCOME: f64 = 0.15;
+/// Weight of the newest outcome in the exponential moving average of the failure
+/// rate.
+const NEWEST_OUTCOME_WEIGHT: f64 = 0.15;
 
-/// How a run ended, as far as it says something about the target.
+/// Outcome of a run, as evidence of the target's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// It answered in full.
+    /// The target sent a complete answer.
     Success,
-    /// It failed the call, broke off, spoiled the answer or rejected the call
-    /// while it had room.
+    /// The target answered with a failure, closed the connection early, sent an
+    /// invalid answer, or rejected the call although it had free slots.
     Failure,
 }
 
-/// The share of a target's calls that end ill.
+/// Exponential moving average of a target's failure rate.
 ///
-/// Load pattern: a target that fails or rejects half of its calls while its
-/// health check is good. It looks idle, so it would draw more calls than the
-/// others.
+/// It detects a target that passes its health check but fails or rejects half of
+/// its calls. Such a target looks idle, and would otherwise attract more calls
+/// than the others.
 #[derive(Clone, Debug, Default)]
 pub struct TargetHealth {
     failure_rate: f64,
 }
 
 impl TargetHealth {
-    /// Counts how a run ended.
-    pub fn note(&mut self, sign: RunOutcome) {
-        let ill = match sign {
+    /// Adds the outcome of a run to the average.
+    pub fn note(&mut self, outcome: RunOutcome) {
+        let failure = match outcome {
             RunOutcome::Success => 0.0,
             RunOutcome::Failure => 1.0,
         };
-        self.failure_rate += (ill - self.failure_rate) * NEWEST_OUTCOME;
+        self.failure_rate += (failure - self.failure_rate) * NEWEST_OUTCOME_WEIGHT;
     }
 
-    /// Share of recent runs that ended ill, 0 to 1.
+    /// Share of recent runs that failed, 0 to 1.
     #[must_use]
     pub fn failure_rate(&self) -> f64 {
         self.failure_rate
