--- a/crates/policy/src/instance.rs
+++ b/crates/policy/src/instance.rs
@@ -1,23 +1,25 @@
-//! The life of the target beside the daemon, as its own calls tell it.
+//! Lifecycle of the target on the daemon's host, as the target reports it.
 
 use std::fmt;
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
 
-/// Names one start of a target: a target may start again under its id.
+/// Identifies an instance, that is one start of a target. A target may restart
+/// with the same id.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceKey {
-    /// The id that it goes by.
+    /// The target's id.
     pub id: String,
-    /// Unix millisecond of its start by its own clock, where it tells.
+    /// Start time by the target's own clock, in milliseconds since the Unix epoch;
+    /// `None` if the target does not report it.
     pub born: Option<u64>,
 }
 
 impl InstanceKey {
-    /// Whether word about `self` may be about `other`: the same id, and no
-    /// other start of it.
-    fn may_be(&self, other: &InstanceKey) -> bool {
+    /// Whether `self` and `other` may be the same instance: their ids are equal,
+    /// and their start times are equal or one is unknown.
+    fn may_equal(&self, other: &InstanceKey) -> bool {
         self.id == other.id
             && (self.born.is_none() || other.born.is_none() || self.born == other.born)
     }
@@ -32,39 +34,39 @@
     }
 }
 
-/// What a target says about itself.
+/// A report that a target sends about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InstanceReport {
-    /// Which start of the target it is.
+    /// The instance that sends the report.
     pub key: InstanceKey,
-    /// The service it belongs to.
+    /// The service that the target belongs to.
     pub service: String,
-    /// The version of its software.
+    /// The version of the target's software.
     pub software: String,
-    /// Where it listens.
+    /// The address that the target listens on.
     pub address: String,
-    /// Calls it runs at once.
+    /// Calls that the target runs concurrently.
     pub slots: u32,
-    /// Whether it is about to leave.
+    /// Whether the target is shutting down.
     pub is_draining: bool,
-    /// Grows with each report of one start.
+    /// Sequence number, which increases with each report of an instance.
     pub sequence: u64,
-    /// How much longer it stays slow after its start.
+    /// Remaining time until the target is warmed up.
     pub cold_left: Duration,
 }
 
-/// What a report or a farewell changed.
+/// The change caused by a report or a shutdown notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InstanceChange {
-    /// Nothing that others need to know.
+    /// No change that other daemons need to know.
     None,
-    /// Another start of the target is in place.
+    /// A new instance has taken the place of the previous one.
     Replaced,
-    /// The target stops taking work.
+    /// The target no longer accepts new work.
     Draining,
-    /// The target takes work (again).
+    /// The target accepts work, possibly after a pause.
     Ready,
-    /// An outdated report; ignored.
+    /// The report was outdated and is ignored.
     Stale,
 }
 
@@ -72,35 +74,38 @@
 struct CurrentInstance {
     report: InstanceReport,
     leaving_since: Option<Instant>,
-    /// Whether it was leaving already when it was first heard of.
-    mark_left_before_restart: bool,
+    /// Whether the instance was already shutting down when this daemon first heard
+    /// of it, or before this daemon started.
+    left_before_restart: bool,
     cold_until: Instant,
-    heard: Instant,
+    last_report_at: Instant,
 }
 
-/// Follows the target beside the daemon.
+/// Tracks the current instance of the target on the daemon's host.
 #[derive(Clone, Debug, Default)]
 pub struct InstanceTracker {
     current: Option<CurrentInstance>,
-    /// Starts that were replaced or said farewell, newest last.
+    /// Instances that were replaced or have left, newest last.
     former: Vec<InstanceKey>,
 }
 
-/// Silence of the target in place after which another start under its id is
-/// taken though its clock says that it is the earlier one: several reports are
-/// missing then. The clock may have been set back between the two.
-const SILENT_AFTER: Duration = Duration::from_secs(5);
-/// Former starts remembered.
-const FORMER_KEPT: usize = 64;
+/// Time without a report from the current instance after which another instance
+/// with the same id is accepted even if its start time is earlier. Several
+/// reports are missing by then, and the target's clock may have been set back
+/// between the two starts.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of former instances that are remembered.
+const MAX_FORMER_INSTANCES: usize = 64;
 
 impl InstanceTracker {
-    /// Takes a report.
+    /// Processes a report of the target.
     ///
-    /// Guards against a report that was held up on the way and arrives after
-    /// its sender ended and another target took the address: a start that was
-    /// replaced or left is never taken back, and of one start only reports with
-    /// a higher sequence count. A target that starts again under its id counts
-    /// from the beginning: it is told by its birth.
+    /// An instance that was replaced or has left is never accepted again, and a
+    /// report of the current instance counts only if its sequence number is
+    /// higher than the last one. This guards against a delayed report that
+    /// arrives after its sender ended and another target took the address. A
+    /// restarted target with the same id starts a new sequence; it is recognised
+    /// by its start time.
     pub fn report(&mut self, report: InstanceReport, now: Instant) -> InstanceChange {
         if self.is_outdated(&report.key, now) {
             return InstanceChange::Stale;
@@ -112,10 +117,10 @@
                     return InstanceChange::Stale;
                 }
                 current.cold_until = cold_until;
-                current.heard = now;
+                current.last_report_at = now;
                 let was_leaving = current.leaving_since.is_some();
-                // Once a target has said that it leaves, it stays leaving:
-                // its acknowledgement binds.
+                // A shutdown that was acknowledged to the target is final: a
+                // later report does not make the target ready again.
                 let is_leaving = was_leaving || report.is_draining;
                 if is_leaving && !was_leaving {
                     current.leaving_since = Some(now);
@@ -134,48 +139,49 @@
                     InstanceChange::Replaced
                 };
                 let leaving_since = report.is_draining.then_some(now);
-                let fresh = CurrentInstance {
-                    mark_left_before_restart: report.is_draining,
+                let new = CurrentInstance {
+                    left_before_restart: report.is_draining,
                     report,
                     leaving_since,
                     cold_until,
-                    heard: now,
+                    last_report_at: now,
                 };
-                if let Some(old) = self.current.replace(fresh) {
-                    self.forget(old.report.key);
+                if let Some(old) = self.current.replace(new) {
+                    self.add_former(old.report.key);
                 }
                 change
             }
         }
     }
 
-    /// Whether word of `key` comes from a start that is over, or from none.
+    /// Whether a report with `key` comes from a former instance, or cannot be
+    /// attributed to a new one.
     ///
-    /// Guards against a report without a birth, or with that of an earlier
-    /// start, that goes by the id of the target in place: taken for another
-    /// start it would replace the live one, whose own reports were outdated
-    /// from then on.
+    /// Guards against a report that has the current instance's id but an earlier
+    /// start time or none. If it were accepted as a new instance, it would
+    /// replace the live one, whose own reports would count as outdated from then
+    /// on.
     fn is_outdated(&self, key: &InstanceKey, now: Instant) -> bool {
         if let Some(current) = &self.current {
-            let place = &current.report.key;
-            if place == key {
+            let current_key = &current.report.key;
+            if current_key == key {
                 return false;
             }
-            let is_earlier = place.id == key.id && key.born < place.born;
-            if is_earlier && now < current.heard + SILENT_AFTER {
+            let is_earlier = current_key.id == key.id && key.born < current_key.born;
+            if is_earlier && now < current.last_report_at + REPORT_TIMEOUT {
                 return true;
             }
         }
-        let no_birth = key.born.is_none();
+        let has_no_start_time = key.born.is_none();
         self.former
             .iter()
-            .any(|former| former == key || (no_birth && former.id == key.id))
+            .any(|former| former == key || (has_no_start_time && former.id == key.id))
     }
 
-    /// Takes a farewell of `key`.
+    /// Processes the shutdown notice of instance `key`.
     pub fn leave(&mut self, key: &InstanceKey, now: Instant) -> InstanceChange {
         match &mut self.current {
-            Some(current) if key.may_be(&current.report.key) => {
+            Some(current) if key.may_equal(&current.report.key) => {
                 if current.leaving_since.is_some() {
                     return InstanceChange::None;
                 }
@@ -191,56 +197,56 @@
 
     fn remember_former(&mut self, key: &InstanceKey) {
         if !self.former.contains(key) {
-            self.forget(key.clone());
+            self.add_former(key.clone());
         }
     }
 
-    /// Takes word that `key` was leaving before this daemon started.
+    /// Records that instance `key` was shutting down before this daemon started.
     ///
-    /// Guards against a leaving that was acknowledged by this daemon's process
-    /// before it was killed: a late report would make the target look ready
-    /// again, and calls would reach it after it may have ended.
+    /// Guards against a shutdown that this daemon acknowledged before its process
+    /// was killed and restarted: a late report would make the target look ready
+    /// again, and calls would be sent to it after it may have ended.
     pub fn mark_left_before_restart(&mut self, key: &InstanceKey, now: Instant) {
         match &mut self.current {
             Some(current) if current.report.key == *key => {
                 if current.leaving_since.is_none() {
                     current.leaving_since = Some(now);
-                    current.mark_left_before_restart = true;
+                    current.left_before_restart = true;
                 }
             }
             _ => self.remember_former(key),
         }
     }
 
-    /// Whether the target was leaving before this daemon heard of it: how long
-    /// ago its leaving was acknowledged is not known, so it counts as gone.
+    /// Whether the target was shutting down before this daemon heard of it. The
+    /// time of the acknowledgement is unknown then, so the target counts as gone.
     #[must_use]
     pub fn is_gone(&self) -> bool {
         self.current
             .as_ref()
-            .is_some_and(|current| current.mark_left_before_restart)
+            .is_some_and(|current| current.left_before_restart)
     }
 
-    fn forget(&mut self, key: InstanceKey) {
-        if self.former.len() >= FORMER_KEPT {
+    fn add_former(&mut self, key: InstanceKey) {
+        if self.former.len() >= MAX_FORMER_INSTANCES {
             self.former.remove(0);
         }
         self.former.push(key);
     }
 
-    /// What the target last said; `None` before its first report.
+    /// The target's last accepted report; `None` before the first one.
     #[must_use]
     pub fn current(&self) -> Option<&InstanceReport> {
         self.current.as_ref().map(|current| &current.report)
     }
 
-    /// Since when the target is leaving.
+    /// The time since which the target is shutting down; `None` if it is not.
     #[must_use]
     pub fn leaving_since(&self) -> Option<Instant> {
         self.current.as_ref()?.leaving_since
     }
 
-    /// Whether the target is still slow from its start.
+    /// Whether the target is still warming up after its start.
     #[must_use]
     pub fn is_cold(&self, now: Instant) -> bool {
         self.current
