--- a/crates/policy/src/instance.rs
+++ b/crates/policy/src/instance.rs
@@ -45,7 +45,7 @@
     pub software: String,
     /// The address that the target listens on.
     pub address: String,
-    /// Calls that the target runs concurrently.
+    /// Maximum number of calls that the target runs concurrently.
     pub slots: u32,
     /// Whether the target is shutting down.
     pub is_draining: bool,
--- a/crates/policy/src/placement.rs
+++ b/crates/policy/src/placement.rs
@@ -11,7 +11,7 @@
 pub struct TargetView {
     /// Whether the target is in the caller's availability zone.
     pub in_zone: bool,
-    /// Calls that the target runs concurrently.
+    /// Maximum number of calls that the target runs concurrently.
     pub slots: u32,
     /// Calls that run or wait at the target: the last reported number plus an
     /// estimate of those sent since (see [`estimated_occupancy`]).
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -47,8 +47,8 @@
     pub kind: RouteKind,
     /// Maximum time from a call's arrival until its deadline.
     pub timeout: Duration,
-    /// Time from a call's arrival until its soft deadline; an earlier answer has
-    /// its full value (`target_latency` in the settings).
+    /// Time from the client's first try of a call until the call's soft deadline; an
+    /// earlier answer has its full value (`target_latency` in the settings).
     pub aim: Duration,
     /// Maximum number of targets that a call is sent to.
     pub max_attempts: u32,
--- a/crates/policy/src/weights.rs
+++ b/crates/policy/src/weights.rs
@@ -8,8 +8,8 @@
 ///
 /// On a route with weights 90 and 10, random selection misses the configured
 /// shares by several percentage points over a few hundred calls. Round robin
-/// keeps each daemon within one call of the shares at any time, and so keeps
-/// the total of all daemons close to them.
+/// keeps each daemon within one call of the shares at any point of the round, and
+/// so keeps the total of all daemons close to them.
 #[derive(Debug, Default)]
 pub struct WeightedRoundRobin {
     routes: HashMap<String, Vec<ServiceState>>,
--- a/crates/policy/tests/call_cases.rs
+++ b/crates/policy/tests/call_cases.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for routing, repeats, weights and the target's life.
+//! Table tests for routing, retries, weights, target health and instances.
 
 use std::time::{Duration, Instant};
 
@@ -45,7 +45,7 @@
     })
 }
 
-/// A call's host and target, and the route that takes it.
+/// A request's host and target, and the expected route.
 struct LookupCase {
     host: &'static str,
     target: &'static str,
@@ -62,7 +62,7 @@
 #[case(LookupCase { host: "shop.example", target: "/", route: None })]
 #[case(LookupCase { host: "shop.example", target: "", route: None })]
 #[case(LookupCase { host: "other.example", target: "/a/x", route: None })]
-fn the_longest_prefix_takes_the_call(#[case] case: LookupCase) {
+fn longest_matching_prefix_wins(#[case] case: LookupCase) {
     let index = index();
     let found = index
         .lookup(case.host, case.target)
@@ -70,12 +70,12 @@
     assert_eq!(found, case.route, "{} {}", case.host, case.target);
 }
 
-/// An ending, what is left for the call, and what follows.
+/// The end of an attempt, what the call may still do, and the expected next step.
 struct StepCase {
     end: AttemptEnd,
     repeatable: bool,
     maybe_run: bool,
-    /// Whether there is another target, and whether the budget pays for it.
+    /// Whether another target is available, and whether the budget allows a retry.
     other_and_budget: (bool, bool),
     left: u32,
     step: NextStep,
@@ -95,7 +95,7 @@
 #[case(StepCase { end: AttemptEnd::Lost, repeatable: true, maybe_run: true, other_and_budget: (true, true), left: 1, step: NextStep::SendAgain })]
 #[case(StepCase { end: AttemptEnd::Lost, repeatable: true, maybe_run: true, other_and_budget: (true, true), left: 0, step: NextStep::SayUnknown })]
 #[case(StepCase { end: AttemptEnd::Lost, repeatable: false, maybe_run: true, other_and_budget: (true, true), left: 1, step: NextStep::SayUnknown })]
-fn an_ending_decides_what_follows(#[case] case: StepCase) {
+fn end_of_attempt_determines_next_step(#[case] case: StepCase) {
     let allowance = CallAllowance {
         repeatable: case.repeatable,
         maybe_run: case.maybe_run,
@@ -114,7 +114,7 @@
     );
     assert!(
         may_cost || asked == 0,
-        "an ending that repeats nothing asked for budget"
+        "the budget was charged although nothing is retried"
     );
 }
 
@@ -122,27 +122,27 @@
 #[case(&[("one", 90), ("two", 10)])]
 #[case(&[("one", 1), ("two", 1), ("three", 2)])]
 #[case(&[("one", 0), ("two", 5)])]
-fn weights_are_kept_within_one_call(#[case] parts: &[(&str, u32)]) {
+fn services_receive_their_share_of_calls(#[case] parts: &[(&str, u32)]) {
     let split = route("split", "/s/", parts);
     let total: u32 = parts.iter().map(|(_, weight)| weight).sum();
     for start in [0, 3, 1_000_003] {
-        let mut dealer = WeightedRoundRobin::default();
-        let mut dealt = vec![0_i64; parts.len()];
+        let mut round_robin = WeightedRoundRobin::default();
+        let mut counts = vec![0_i64; parts.len()];
         let rounds = 1_000;
         for _ in 0..rounds {
-            let service = dealer.next_service(&split, start);
+            let service = round_robin.next_service(&split, start);
             let part = parts
                 .iter()
                 .position(|(name, _)| *name == service)
-                .expect("a part");
-            dealt[part] += 1;
+                .expect("the service is on the route");
+            counts[part] += 1;
         }
         for (part, (name, weight)) in parts.iter().enumerate() {
-            let due = rounds * i64::from(*weight) / i64::from(total);
+            let expected = rounds * i64::from(*weight) / i64::from(total);
             assert!(
-                (dealt[part] - due).abs() <= 2,
-                "{name}: {} for {due}",
-                dealt[part]
+                (counts[part] - expected).abs() <= 2,
+                "{name}: {} calls instead of {expected}",
+                counts[part]
             );
         }
     }
@@ -168,11 +168,12 @@
     }
 }
 
-/// A target crashes behind a cut, another instance takes its address, and a
-/// report of the first one arrives when the cut heals. Taking it would send
-/// the second one's calls to an id that nobody has.
+/// Guards against a delayed report that replaces the live instance: a target
+/// crashes during a network partition, another instance takes its address, and a
+/// report of the first one arrives when the partition heals. If it were accepted,
+/// calls to the second instance would carry an id that no instance has.
 #[test]
-fn a_report_held_up_on_the_way_does_not_bring_an_instance_back() {
+fn delayed_report_does_not_restore_a_replaced_instance() {
     let now = Instant::now();
     let mut tracker = InstanceTracker::default();
     assert_eq!(
@@ -198,10 +199,10 @@
     assert!(tracker.leaving_since().is_none());
 }
 
-/// A target says that it drains; a report from before, or a confused one after,
-/// says "ready". Its leaving was acknowledged, so it stays leaving.
+/// Guards against a draining target that becomes ready again because of a delayed
+/// or inconsistent "ready" report: its shutdown was acknowledged and is final.
 #[test]
-fn leaving_binds() {
+fn acknowledged_shutdown_is_final() {
     let now = Instant::now();
     let mut tracker = InstanceTracker::default();
     tracker.report(report("one", 1, false), now);
@@ -226,11 +227,12 @@
     );
 }
 
-/// A daemon is killed after it acknowledged that its target leaves, and starts
-/// again. The target's next report, or a peer's word, says that it was leaving;
-/// when that was acknowledged is not known, so it gets nothing more.
+/// Guards against calls to a target that may have ended. A daemon acknowledges its
+/// target's shutdown, is killed and restarts. It learns of the shutdown from the
+/// target's next report or from a peer, but not when it was acknowledged, so the
+/// target must get no more calls.
 #[test]
-fn what_left_before_a_restart_counts_as_gone() {
+fn target_that_left_before_a_daemon_restart_is_gone() {
     let now = Instant::now();
     let mut tracker = InstanceTracker::default();
     tracker.report(report("one", 9, true), now);
@@ -253,95 +255,102 @@
     tracker.report(report("one", 8, false), now);
     tracker.report(report("one", 9, true), now);
     tracker.mark_left_before_restart(&key("one"), now);
-    assert!(!tracker.is_gone(), "its own acknowledgement, with its time");
+    assert!(
+        !tracker.is_gone(),
+        "the daemon knows when it acknowledged the shutdown itself"
+    );
 }
 
-/// One report under an id that was used before.
-struct BirthCase {
-    story: &'static str,
-    /// Birth, sequence and time since the first report.
+/// A report with an id that an earlier instance already used.
+struct RestartCase {
+    description: &'static str,
+    /// Start time of the reporting instance.
     born: Option<u64>,
     sequence: u64,
+    /// Time since the first report.
     after: Duration,
     change: InstanceChange,
 }
 
-/// A target crashes and starts again under its id: its counts start anew, and
-/// a late report of the start before may still come. Judged by the sequence
-/// alone, the new start would count as outdated and get no calls, and a late
-/// report would bring the ended one back.
+/// Guards against instances told apart by sequence number alone. A target crashes
+/// and restarts with the same id: its sequence starts again, so the new instance
+/// would count as outdated and get no calls, and a delayed report of the previous
+/// instance would restore that one.
 #[rstest]
-#[case(BirthCase {
-    story: "a later start counts from the beginning",
+#[case(RestartCase {
+    description: "a later instance starts a new sequence",
     born: Some(2_000), sequence: 1, after: Duration::from_secs(1), change: InstanceChange::Replaced,
 })]
-#[case(BirthCase {
-    story: "the same start goes on counting",
+#[case(RestartCase {
+    description: "the same instance continues its sequence",
     born: Some(1_000), sequence: 8, after: Duration::from_secs(1), change: InstanceChange::None,
 })]
-#[case(BirthCase {
-    story: "an old count of the same start",
+#[case(RestartCase {
+    description: "a repeated sequence number of the same instance",
     born: Some(1_000), sequence: 7, after: Duration::from_secs(1), change: InstanceChange::Stale,
 })]
-#[case(BirthCase {
-    story: "a late report of the start before",
+#[case(RestartCase {
+    description: "a delayed report of the previous instance",
     born: Some(500), sequence: 90, after: Duration::from_secs(1), change: InstanceChange::Stale,
 })]
-#[case(BirthCase {
-    story: "a start whose clock was set back, in place of one long silent",
+#[case(RestartCase {
+    description: "an instance whose clock was set back, after a long silence of the current one",
     born: Some(500), sequence: 1, after: Duration::from_secs(6), change: InstanceChange::Replaced,
 })]
-#[case(BirthCase {
-    story: "another writer that knows the id and no birth",
+#[case(RestartCase {
+    description: "a report with the same id and no start time",
     born: None, sequence: 99, after: Duration::from_secs(1), change: InstanceChange::Stale,
 })]
-fn a_start_is_told_by_its_birth(#[case] case: BirthCase) {
+fn instances_are_distinguished_by_start_time(#[case] case: RestartCase) {
     let now = Instant::now();
     let mut tracker = InstanceTracker::default();
-    let of = |born, sequence| InstanceReport {
+    let report_of = |born, sequence| InstanceReport {
         key: InstanceKey {
             id: "one".to_owned(),
             born,
         },
         ..report("one", sequence, false)
     };
-    tracker.report(of(Some(1_000), 7), now);
-    let change = tracker.report(of(case.born, case.sequence), now + case.after);
-    assert_eq!(change, case.change, "{}", case.story);
+    tracker.report(report_of(Some(1_000), 7), now);
+    let change = tracker.report(report_of(case.born, case.sequence), now + case.after);
+    assert_eq!(change, case.change, "{}", case.description);
 }
 
-/// A target leaves and starts again under its id before a late report, or the
-/// farewell, of the start before comes. Neither may close the gate of the one
-/// that is in place.
+/// Guards against a restarted target that is closed by messages of its previous
+/// instance: the target shuts down and restarts with the same id before a delayed
+/// report or shutdown notice of the previous instance arrives.
 #[test]
-fn what_a_start_said_binds_that_start_only() {
+fn messages_of_a_previous_instance_do_not_affect_the_current_one() {
     let now = Instant::now();
-    let start = |born| InstanceKey {
+    let instance = |born| InstanceKey {
         id: "one".to_owned(),
         born: Some(born),
     };
-    let of = |born, sequence, is_draining| InstanceReport {
-        key: start(born),
+    let report_of = |born, sequence, is_draining| InstanceReport {
+        key: instance(born),
         ..report("one", sequence, is_draining)
     };
     let mut tracker = InstanceTracker::default();
-    tracker.report(of(1_000, 7, true), now);
-    tracker.report(of(2_000, 1, false), now);
+    tracker.report(report_of(1_000, 7, true), now);
+    tracker.report(report_of(2_000, 1, false), now);
     assert!(tracker.leaving_since().is_none());
     assert_eq!(
-        tracker.report(of(1_000, 8, true), now),
+        tracker.report(report_of(1_000, 8, true), now),
         InstanceChange::Stale
     );
-    assert_eq!(tracker.leave(&start(1_000), now), InstanceChange::Stale);
-    tracker.mark_left_before_restart(&start(1_000), now);
+    assert_eq!(tracker.leave(&instance(1_000), now), InstanceChange::Stale);
+    tracker.mark_left_before_restart(&instance(1_000), now);
     assert!(tracker.leaving_since().is_none());
-    assert_eq!(tracker.leave(&start(2_000), now), InstanceChange::Draining);
+    assert_eq!(
+        tracker.leave(&instance(2_000), now),
+        InstanceChange::Draining
+    );
 }
 
-/// A target rejects half of its calls: that must show within a second of
-/// calls, and wear off when it is well again.
+/// Guards against a target that rejects half of its calls unnoticed: its failure
+/// rate must rise within a second of calls, and fall when the target recovers.
 #[test]
-fn an_ill_target_shows_within_twenty_calls() {
+fn failing_target_is_detected_within_twenty_calls() {
     let mut health = TargetHealth::default();
     for number in 0..20 {
         health.note(if number % 2 == 0 {
--- a/crates/policy/tests/egress_replay.rs
+++ b/crates/policy/tests/egress_replay.rs
@@ -1,4 +1,4 @@
-//! Replays answers that want to leave a host with a slow link.
+//! Simulates a host that sends answers over a slow link.
 
 use std::time::{Duration, Instant};
 
@@ -8,14 +8,14 @@
 use filbert_policy::egress::{EgressDecision, EgressQueue, EgressTicket};
 use filbert_policy::run_times::RunTime;
 
-/// Rate of the slowest links of the users, in Mbit/s.
-const SLOW: f64 = 7.5;
-const PIECE: u64 = 16 * 1024;
-/// How long callers wait.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Rate of the slowest links in use, in Mbit/s.
+const SLOW_LINK_MBPS: f64 = 7.5;
+const CHUNK_BYTES: u64 = 16 * 1024;
+/// Time that a caller waits for its answer.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(5);
 const STEP: Duration = Duration::from_millis(1);
 
-/// An answer on its way out.
+/// An answer that is being sent.
 struct Answer {
     left: u64,
     ticket: Option<EgressTicket>,
@@ -32,35 +32,39 @@
     }
 }
 
-/// Lets answers leave, all at once from the start, until all are out.
+/// Sends answers that are all ready at `start`, until the last one is complete.
 fn replay(queue: &mut EgressQueue, answers: &mut [Answer], start: Instant) {
     let mut now = start;
     while answers.iter().any(|answer| answer.done.is_none()) {
         for answer in answers.iter_mut().filter(|answer| answer.done.is_none()) {
-            let piece = answer.left.min(PIECE);
+            let chunk = answer.left.min(CHUNK_BYTES);
             let ticket = *answer
                 .ticket
-                .get_or_insert_with(|| queue.enqueue(piece, answer.left, start + PATIENCE));
+                .get_or_insert_with(|| queue.enqueue(chunk, answer.left, start + CALLER_TIMEOUT));
             if queue.try_send(ticket, now) == EgressDecision::Send {
                 answer.ticket = None;
-                answer.left -= piece;
+                answer.left -= chunk;
                 if answer.left == 0 {
                     answer.done = Some(now - start);
                 }
             }
         }
         now += STEP;
-        assert!(now < start + Duration::from_mins(1), "it never ends");
+        assert!(
+            now < start + Duration::from_mins(1),
+            "the answers are not sent within a minute"
+        );
     }
 }
 
-/// Nine runs beside one target end at once, each with 90 KB, on a link of 7.5
-/// Mbit/s. Written at once, every one of them is out after a second, and all
-/// that is short waits as long. Paced, shortest first, they come one by one.
+/// Guards against answers that share the link and all finish last. Nine runs of a
+/// target end at once, each with an answer of 90 KB, on a link of 7.5 Mbit/s. If
+/// written at once, all answers finish after a second, and short answers wait as
+/// long. Paced with the shortest first, the answers finish one after another.
 #[test]
-fn long_answers_leave_one_by_one() {
+fn long_answers_are_sent_one_after_another() {
     let start = Instant::now();
-    let mut queue = EgressQueue::new(SLOW, start);
+    let mut queue = EgressQueue::new(SLOW_LINK_MBPS, start);
     let mut answers: Vec<Answer> = (0..9).map(|extra| Answer::of(90_000 + extra)).collect();
     replay(&mut queue, &mut answers, start);
     let mut done: Vec<Duration> = answers.iter().filter_map(|answer| answer.done).collect();
@@ -70,31 +74,31 @@
     assert!(last < Duration::from_millis(1_100), "{done:?}");
     assert!(
         mean < last.mul_f64(0.6),
-        "mean {mean:?}, last {last:?}: side by side all end last"
+        "mean {mean:?}, last {last:?}: answers sent in parallel all end last"
     );
 }
 
-/// A short answer is made while a long one leaves. It goes past it.
+/// Guards against a short answer that waits behind a long one.
 #[test]
-fn a_nearly_finished_answer_goes_first() {
+fn answer_with_least_remaining_bytes_is_sent_first() {
     let start = Instant::now();
-    let mut queue = EgressQueue::new(SLOW, start);
+    let mut queue = EgressQueue::new(SLOW_LINK_MBPS, start);
     let mut answers = vec![Answer::of(2_000_000), Answer::of(20_000)];
     replay(&mut queue, &mut answers, start);
     assert!(answers[1].done < Some(Duration::from_millis(100)));
     assert!(answers[0].done > Some(Duration::from_secs(2)));
 }
 
-/// Guards against an answer that waits for as long as shorter ones keep coming,
-/// and is late for its caller.
+/// Guards against starvation of a long answer: while shorter answers keep
+/// arriving, it is sent only after its caller has timed out.
 #[test]
-fn a_longer_answer_is_home_before_its_caller_leaves() {
+fn long_answer_is_sent_before_its_caller_times_out() {
     const LONG: u64 = 200_000;
     const SHORTER: u64 = 60_000;
     let start = Instant::now();
-    let mut queue = EgressQueue::new(SLOW, start);
-    // A little more than the link carries comes for ten seconds.
-    let every = queue.transmission_time(SHORTER).mul_f64(0.95);
+    let mut queue = EgressQueue::new(SLOW_LINK_MBPS, start);
+    // For ten seconds, answers arrive a little faster than the link sends them.
+    let interval = queue.transmission_time(SHORTER).mul_f64(0.95);
     let mut long = (LONG, None);
     let mut shorter: Vec<(Instant, u64, Option<EgressTicket>)> = Vec::new();
     let mut next = start;
@@ -102,89 +106,90 @@
     while long.0 > 0 && now < start + Duration::from_secs(10) {
         if now >= next {
             shorter.push((now, SHORTER, None));
-            next += every;
+            next += interval;
         }
         for (began, left, ticket) in shorter
             .iter_mut()
             .map(|(began, left, ticket)| (*began, left, ticket))
             .chain(std::iter::once((start, &mut long.0, &mut long.1)))
         {
-            let piece = (*left).min(PIECE);
-            if piece == 0 {
+            let chunk = (*left).min(CHUNK_BYTES);
+            if chunk == 0 {
                 continue;
             }
             let place =
-                *ticket.get_or_insert_with(|| queue.enqueue(piece, *left, began + PATIENCE));
+                *ticket.get_or_insert_with(|| queue.enqueue(chunk, *left, began + CALLER_TIMEOUT));
             if queue.try_send(place, now) == EgressDecision::Send {
                 *ticket = None;
-                *left -= piece;
+                *left -= chunk;
             }
         }
         now += STEP;
     }
     let took = now - start;
-    assert!(took < PATIENCE, "it left after {took:?}");
+    assert!(took < CALLER_TIMEOUT, "the answer was sent after {took:?}");
 }
 
-/// Guards against a line that stands still: an answer becomes due with the time,
-/// and nobody looks.
+/// Guards against a queue that stalls: an answer becomes urgent as time passes,
+/// and no sender checks again.
 #[test]
-fn whoever_waits_looks_again_when_it_is_due() {
+fn blocked_answer_is_retried_when_it_becomes_urgent() {
     let start = Instant::now();
-    let mut queue = EgressQueue::new(SLOW, start);
-    let long = queue.enqueue(PIECE, 10 * PIECE, start + PATIENCE);
-    let short = queue.enqueue(PIECE, PIECE, start + PATIENCE * 2);
-    queue.record_sent(10 * PIECE, start);
-    let EgressDecision::RetryAt(looks) = queue.try_send(long, start) else {
-        panic!("it is not told when to look again");
+    let mut queue = EgressQueue::new(SLOW_LINK_MBPS, start);
+    let long = queue.enqueue(CHUNK_BYTES, 10 * CHUNK_BYTES, start + CALLER_TIMEOUT);
+    let short = queue.enqueue(CHUNK_BYTES, CHUNK_BYTES, start + CALLER_TIMEOUT * 2);
+    queue.record_sent(10 * CHUNK_BYTES, start);
+    let EgressDecision::RetryAt(retry_at) = queue.try_send(long, start) else {
+        panic!("the decision has no time for the next attempt");
     };
-    assert!(looks > start && looks < start + PATIENCE);
-    assert_eq!(queue.try_send(long, looks), EgressDecision::Send);
+    assert!(retry_at > start && retry_at < start + CALLER_TIMEOUT);
+    assert_eq!(queue.try_send(long, retry_at), EgressDecision::Send);
     assert_eq!(
-        queue.try_send(short, looks + PATIENCE),
+        queue.try_send(short, retry_at + CALLER_TIMEOUT),
         EgressDecision::Send
     );
 }
 
-/// A caller leaves while its answer is first in line. The next must not wait
-/// for it.
+/// Guards against answers that stay queued behind one whose caller has
+/// disconnected.
 #[test]
-fn a_cancelled_answer_holds_up_nobody() {
+fn cancelled_answer_does_not_block_others() {
     let now = Instant::now();
-    let mut queue = EgressQueue::new(SLOW, now);
-    let first = queue.enqueue(PIECE, PIECE, now + PATIENCE);
-    let second = queue.enqueue(PIECE, 4 * PIECE, now + PATIENCE);
-    let waits = queue.try_send(second, now);
-    assert!(matches!(waits, EgressDecision::RetryAt(at) if at > now));
+    let mut queue = EgressQueue::new(SLOW_LINK_MBPS, now);
+    let first = queue.enqueue(CHUNK_BYTES, CHUNK_BYTES, now + CALLER_TIMEOUT);
+    let second = queue.enqueue(CHUNK_BYTES, 4 * CHUNK_BYTES, now + CALLER_TIMEOUT);
+    let decision = queue.try_send(second, now);
+    assert!(matches!(decision, EgressDecision::RetryAt(at) if at > now));
     queue.cancel(first);
     assert_eq!(queue.try_send(second, now), EgressDecision::Send);
 }
 
 #[test]
-fn a_link_without_a_limit_paces_nothing() {
+fn unlimited_link_is_not_paced() {
     let now = Instant::now();
     let mut queue = EgressQueue::new(0.0, now);
     for _ in 0..100 {
-        let ticket = queue.enqueue(PIECE, 100 * PIECE, now + PATIENCE);
+        let ticket = queue.enqueue(CHUNK_BYTES, 100 * CHUNK_BYTES, now + CALLER_TIMEOUT);
         assert_eq!(queue.try_send(ticket, now), EgressDecision::Send);
     }
     assert_eq!(queue.backlog(now), Duration::ZERO);
 }
 
-/// Calls for 90 KB come as fast as the target could run them, five times as
-/// fast as the link carries answers. With an eye on slots alone all would run
-/// and all answers be late; the gate must turn away what the link cannot carry
-/// and tell when it will be free.
+/// Guards against admission by free slots alone: all calls would run, and all
+/// answers would be late. Calls with answers of 90 KB arrive as fast as the target
+/// can run them, five times as fast as the link sends the answers. The admission
+/// queue must decline calls that exceed the link's rate, and say when there will
+/// be room.
 #[test]
-fn calls_beyond_the_link_are_turned_away_at_once() {
+fn calls_that_exceed_the_link_rate_are_declined_at_once() {
     const ANSWER: u64 = 90_000;
     const RUN: Duration = Duration::from_millis(180);
     let start = Instant::now();
-    let mut link = EgressQueue::new(SLOW, start);
-    let mut gate = GateQueue::new(WaitLimits::default());
-    gate.set_slots(9);
-    gate.set_open(true);
-    let mut taken = 0;
+    let mut link = EgressQueue::new(SLOW_LINK_MBPS, start);
+    let mut admission_queue = GateQueue::new(WaitLimits::default());
+    admission_queue.set_slots(9);
+    admission_queue.set_open(true);
+    let mut admitted = 0;
     for call in 0..9 {
         let now = start + Duration::from_millis(20) * call;
         let demand = CallDemand {
@@ -197,17 +202,17 @@
                 send: link.transmission_time(ANSWER),
             },
         };
-        match gate.offer(demand, RUN, now) {
+        match admission_queue.offer(demand, RUN, now) {
             GateVerdict::Run => {
                 link.reserve(ANSWER);
-                taken += 1;
+                admitted += 1;
             }
             GateVerdict::Decline { reason, room_in } => {
                 assert_eq!(reason, DeclineReason::Crowded);
                 assert!(!room_in.is_zero());
             }
-            GateVerdict::Wait(_) => panic!("slots are free"),
+            GateVerdict::Wait(_) => panic!("a call waits although slots are free"),
         }
     }
-    assert!((3..=6).contains(&taken), "{taken} taken");
+    assert!((3..=6).contains(&admitted), "{admitted} calls admitted");
 }
--- a/crates/policy/tests/identity_cases.rs
+++ b/crates/policy/tests/identity_cases.rs
@@ -1,4 +1,4 @@
-//! Which calls share an identity.
+//! Tests which calls have the same identity, and parsing of its text form.
 
 use filbert_policy::identity::{CallIdentity, IdentityParts, ParseIdentityError};
 use rstest::rstest;
@@ -13,7 +13,7 @@
 };
 
 #[test]
-fn two_tries_of_one_call_are_one() {
+fn retry_of_a_call_has_the_same_identity() {
     assert_eq!(CallIdentity::of(&LOOKUP), CallIdentity::of(&LOOKUP.clone()));
 }
 
@@ -27,12 +27,12 @@
 #[case::longer_body(IdentityParts { body_length: Some(100_000), ..LOOKUP })]
 #[case::unknown_length(IdentityParts { body_length: None, ..LOOKUP })]
 #[case::moved_border(IdentityParts { host: "shop.exampl", target: "e/read/a?b=c", ..LOOKUP })]
-fn calls_that_differ_are_two(#[case] other: IdentityParts<'static>) {
+fn different_calls_have_different_identities(#[case] other: IdentityParts<'static>) {
     assert_ne!(CallIdentity::of(&LOOKUP), CallIdentity::of(&other));
 }
 
 #[test]
-fn an_identity_is_read_back_from_its_text() {
+fn identity_round_trips_through_its_text() {
     let call = CallIdentity::of(&LOOKUP);
     assert_eq!(call.to_string().parse(), Ok(call));
 }
@@ -42,6 +42,6 @@
 #[case("0123")]
 #[case("zz3456789abcdef00123456789abcdef")]
 #[case("ä123456789abcdef0123456789abcde")]
-fn other_text_is_no_identity(#[case] text: &str) {
+fn malformed_text_is_rejected(#[case] text: &str) {
     assert_eq!(text.parse::<CallIdentity>(), Err(ParseIdentityError));
 }
--- a/crates/policy/tests/placement_replay.rs
+++ b/crates/policy/tests/placement_replay.rs
@@ -1,6 +1,6 @@
-//! Replays loads against placement by several daemons that share no view.
+//! Simulates placement by several daemons that do not share their state.
 
-// Counts and times of a replay are small.
+// Counts and times in the simulations are small enough for these casts.
 #![allow(
     clippy::cast_possible_truncation,
     clippy::cast_precision_loss,
@@ -49,61 +49,61 @@
     }
 }
 
-/// One choice between two targets.
+/// A choice between two targets.
 struct ChoiceCase {
-    story: &'static str,
+    description: &'static str,
     first: TargetView,
     second: TargetView,
     answer_kib: f64,
-    /// The share of choices that must fall on the first, at least.
-    first_at_least: f64,
+    /// Minimum share of choices that must select the first target.
+    min_first_share: f64,
 }
 
 #[rstest]
 #[case(ChoiceCase {
-    story: "the faster of two idle targets",
-    first: view(130.0), second: view(300.0), answer_kib: 1.0, first_at_least: 0.95,
+    description: "the faster of two idle targets is preferred",
+    first: view(130.0), second: view(300.0), answer_kib: 1.0, min_first_share: 0.95,
 })]
 #[case(ChoiceCase {
-    story: "equal targets share",
-    first: view(200.0), second: view(200.0), answer_kib: 1.0, first_at_least: 0.4,
+    description: "equal targets share the calls",
+    first: view(200.0), second: view(200.0), answer_kib: 1.0, min_first_share: 0.4,
 })]
 #[case(ChoiceCase {
-    story: "a full target is passed over",
+    description: "a full target is avoided",
     first: view(200.0), second: TargetView { occupancy: 14.0, ..view(200.0) },
-    answer_kib: 1.0, first_at_least: 0.95,
+    answer_kib: 1.0, min_first_share: 0.95,
 })]
 #[case(ChoiceCase {
-    story: "a large answer stays in its zone though the other zone is idle",
+    description: "a call with a large answer stays in its zone although the other zone is idle",
     first: TargetView { occupancy: 9.0, ..view(200.0) },
     second: TargetView { in_zone: false, ..view(200.0) },
-    answer_kib: 90.0, first_at_least: 0.99,
+    answer_kib: 90.0, min_first_share: 0.99,
 })]
 #[case(ChoiceCase {
-    story: "a small answer leaves a crowded zone",
+    description: "a call with a small answer leaves a crowded zone",
     first: TargetView { in_zone: false, ..view(200.0) },
     second: TargetView { occupancy: 16.0, ..view(200.0) },
-    answer_kib: 1.0, first_at_least: 0.95,
+    answer_kib: 1.0, min_first_share: 0.95,
 })]
 #[case(ChoiceCase {
-    story: "a target that fails half of its calls though it looks idle",
+    description: "a target that fails half of its calls is avoided although it looks idle",
     first: TargetView { occupancy: 8.0, ..view(200.0) },
     second: TargetView { failure_rate: 0.5, ..view(200.0) },
-    answer_kib: 1.0, first_at_least: 0.95,
+    answer_kib: 1.0, min_first_share: 0.95,
 })]
 #[case(ChoiceCase {
-    story: "a cold target while a warm one has room",
+    description: "a cold target is avoided while a warm one has free slots",
     first: TargetView { occupancy: 5.0, ..view(200.0) },
     second: TargetView { is_cold: true, ..view(200.0) },
-    answer_kib: 1.0, first_at_least: 0.95,
+    answer_kib: 1.0, min_first_share: 0.95,
 })]
 #[case(ChoiceCase {
-    story: "a leaving target only where there is no other",
+    description: "a target that is shutting down is chosen only when there is no other",
     first: TargetView { occupancy: 20.0, ..view(400.0) },
     second: TargetView { is_leaving: true, ..view(100.0) },
-    answer_kib: 1.0, first_at_least: 1.0,
+    answer_kib: 1.0, min_first_share: 1.0,
 })]
-fn a_call_goes_where_least_is_lost(#[case] case: ChoiceCase) {
+fn call_goes_to_target_with_least_expected_loss(#[case] case: ChoiceCase) {
     let mut rng = StdRng::seed_from_u64(7);
     let views = [case.first, case.second];
     let tries = 400;
@@ -111,16 +111,21 @@
         .filter(|_| choose_target(&views, &call(case.answer_kib), &CROSSING, &mut rng) == Some(0))
         .count();
     let share = first as f64 / f64::from(tries);
-    assert!(share >= case.first_at_least, "{}: {share}", case.story);
+    assert!(
+        share >= case.min_first_share,
+        "{}: {share}",
+        case.description
+    );
 }
 
-/// Ten daemons place calls on seven equal targets. Each sees the others'
-/// placements only in reports 200 ms apart. Were all to send to the target
-/// that the last report showed idle, it would be far over its slots until the
-/// next (25 calls when each daemon counts its own only). No target may have
-/// more waiting than it has slots.
+/// Guards against herding: daemons that all send to the target that the last
+/// report showed idle fill it far beyond its slots until the next report.
+///
+/// Ten daemons place calls on seven equal targets and learn of each other's calls
+/// only from reports 200 ms apart. A target reached 25 calls when each daemon
+/// counted only its own calls. No target may have more calls waiting than slots.
 #[test]
-fn daemons_with_the_same_report_do_not_herd() {
+fn daemons_with_same_report_do_not_herd() {
     let mut rng = StdRng::seed_from_u64(11);
     let targets = 7;
     let run_ms = 240.0;
@@ -132,7 +137,7 @@
         let now = f64::from(step);
         if step % 200 == 0 {
             for (report, runs) in reported.iter_mut().zip(&running) {
-                *report = u32::try_from(runs.len()).expect("a count");
+                *report = u32::try_from(runs.len()).expect("the count fits in u32");
             }
             for sent in &mut own {
                 sent.fill(0);
@@ -141,7 +146,7 @@
         for runs in &mut running {
             runs.retain(|until| *until > now);
         }
-        // 170 calls a second: two thirds of the slots.
+        // 170 calls per second use two thirds of the slots.
         if step % 6 == 0 {
             let daemon = (step / 6) as usize % 10;
             let views: Vec<TargetView> = (0..targets)
@@ -150,7 +155,8 @@
                     ..view(run_ms)
                 })
                 .collect();
-            let target = choose_target(&views, &call(5.0), &CROSSING, &mut rng).expect("a target");
+            let target = choose_target(&views, &call(5.0), &CROSSING, &mut rng)
+                .expect("a target is eligible");
             own[daemon][target] += 1;
             running[target].push(now + run_ms);
             worst = worst.max(running[target].len());
@@ -159,47 +165,47 @@
     assert!(worst <= 18, "{worst} calls at one target with 9 slots");
 }
 
-/// One call whose zone has turned it away, and a target in another zone.
-struct LeavingCase {
-    story: &'static str,
+/// A call that was declined in its zone, and a target in another zone.
+struct OtherZoneCase {
+    description: &'static str,
     occupancy: f64,
     transfer_kib: f64,
     zone_has_target: bool,
     is_above_lowest_priority: bool,
-    leaves: bool,
+    is_sent: bool,
 }
 
-/// All zones have more calls than slots. What one zone turns away must not go
-/// to the next to be turned away there too: of 27,000 calls between zones
-/// 15,000 were refused, and their bytes were billed.
+/// Guards against calls that are declined in one zone and sent to the next only to
+/// be declined there too, when all zones have more calls than slots. Of 27,000
+/// calls between zones 15,000 were refused, and their traffic was billed.
 #[rstest]
-#[case(LeavingCase {
-    story: "a slot is free there",
-    occupancy: 6.0, transfer_kib: 2.0, zone_has_target: true, is_above_lowest_priority: false, leaves: true,
+#[case(OtherZoneCase {
+    description: "the target has a free slot",
+    occupancy: 6.0, transfer_kib: 2.0, zone_has_target: true, is_above_lowest_priority: false, is_sent: true,
 })]
-#[case(LeavingCase {
-    story: "calls wait there as they do at home",
-    occupancy: 11.0, transfer_kib: 2.0, zone_has_target: true, is_above_lowest_priority: false, leaves: false,
+#[case(OtherZoneCase {
+    description: "calls wait at the target as in the caller's zone",
+    occupancy: 11.0, transfer_kib: 2.0, zone_has_target: true, is_above_lowest_priority: false, is_sent: false,
 })]
-#[case(LeavingCase {
-    story: "it goes before those that wait there",
-    occupancy: 11.0, transfer_kib: 2.0, zone_has_target: true, is_above_lowest_priority: true, leaves: true,
+#[case(OtherZoneCase {
+    description: "the call overtakes those that wait at the target",
+    occupancy: 11.0, transfer_kib: 2.0, zone_has_target: true, is_above_lowest_priority: true, is_sent: true,
 })]
-#[case(LeavingCase {
-    story: "it goes before them, but its way costs all that it is worth",
-    occupancy: 11.0, transfer_kib: 9.0, zone_has_target: true, is_above_lowest_priority: true, leaves: false,
+#[case(OtherZoneCase {
+    description: "the call would overtake others, but the transfer reaches the cost limit",
+    occupancy: 11.0, transfer_kib: 9.0, zone_has_target: true, is_above_lowest_priority: true, is_sent: false,
 })]
-#[case(LeavingCase {
-    story: "nobody at home takes such calls",
-    occupancy: 11.0, transfer_kib: 9.0, zone_has_target: false, is_above_lowest_priority: false, leaves: true,
+#[case(OtherZoneCase {
+    description: "no target in the caller's zone accepts such calls",
+    occupancy: 11.0, transfer_kib: 9.0, zone_has_target: false, is_above_lowest_priority: false, is_sent: true,
 })]
-fn a_call_leaves_its_zone_for_what_runs_it_at_once(#[case] case: LeavingCase) {
+fn call_is_sent_to_another_zone_only_if_eligible(#[case] case: OtherZoneCase) {
     let crossing = CrossZoneCost {
         base: 0.25,
         per_kib: 0.2,
         most: 0.9,
     };
-    let there = TargetView {
+    let other_zone = TargetView {
         in_zone: false,
         occupancy: case.occupancy,
         ..view(150.0)
@@ -210,26 +216,27 @@
         ..call(case.transfer_kib)
     };
     let mut rng = StdRng::seed_from_u64(3);
-    let choice = choose_target(&[there], &call, &crossing, &mut rng);
-    assert_eq!(choice.is_some(), case.leaves, "{}", case.story);
+    let choice = choose_target(&[other_zone], &call, &crossing, &mut rng);
+    assert_eq!(choice.is_some(), case.is_sent, "{}", case.description);
 }
 
-/// Ten calls of 150 ms wait at home, and a lookup of 30 ms comes, which goes
-/// before them there. Reckoned behind all ten, lookups left their zone: 3,700
-/// in a minute, for a target that was no sooner done.
+/// Guards against short calls that leave their zone without need. A lookup of
+/// 30 ms overtakes the ten calls of 150 ms that wait in its zone. When the lookup
+/// was assumed to wait behind all ten, 3,700 lookups in a minute left their zone
+/// for a target that did not answer any sooner.
 #[test]
-fn a_short_call_stays_at_home_behind_long_ones() {
+fn short_call_stays_in_its_zone_despite_queued_long_calls() {
     let crossing = CrossZoneCost {
         base: 0.25,
         per_kib: 0.2,
         most: 0.9,
     };
-    let home = TargetView {
+    let same_zone = TargetView {
         occupancy: 19.0,
         queue_run_ms: 150.0,
         ..view(30.0)
     };
-    let away = TargetView {
+    let other_zone = TargetView {
         in_zone: false,
         queue_run_ms: 150.0,
         ..view(30.0)
@@ -241,32 +248,32 @@
     };
     let mut rng = StdRng::seed_from_u64(5);
     for _ in 0..100 {
-        let choice = choose_target(&[home, away], &lookup, &crossing, &mut rng);
+        let choice = choose_target(&[same_zone, other_zone], &lookup, &crossing, &mut rng);
         assert_eq!(choice, Some(0));
     }
 }
 
 #[test]
-fn without_a_target_there_is_no_choice() {
+fn no_targets_give_no_choice() {
     let mut rng = StdRng::seed_from_u64(1);
     assert_eq!(choose_target(&[], &call(1.0), &CROSSING, &mut rng), None);
 }
 
-/// A burst is refused within a moment. Its callers must not all return at one
-/// moment, nor later than a third of the time they have.
+/// Guards against a burst of refused calls that is retried all at once: the retry
+/// times must be spread out, and not exceed a third of the remaining time.
 #[test]
-fn refused_callers_return_spread_out() {
-    let room = Duration::from_millis(200);
+fn retry_times_of_refused_calls_are_spread_out() {
+    let room_in = Duration::from_millis(200);
     let left = Duration::from_secs(3);
-    let returns: Vec<Duration> = (0..=100)
-        .map(|step| come_back_after(room, left, f64::from(step) / 100.0))
+    let retry_times: Vec<Duration> = (0..=100)
+        .map(|step| come_back_after(room_in, left, f64::from(step) / 100.0))
         .collect();
-    let (first, last) = (returns[0], returns[100]);
+    let (first, last) = (retry_times[0], retry_times[100]);
     assert!(
-        last.saturating_sub(first) >= room / 2,
+        last.saturating_sub(first) >= room_in / 2,
         "{first:?} to {last:?}"
     );
     assert!(last <= left / 3);
-    let hurried = come_back_after(Duration::from_secs(9), Duration::from_millis(300), 0.5);
-    assert!(hurried <= Duration::from_millis(100));
+    let short_deadline = come_back_after(Duration::from_secs(9), Duration::from_millis(300), 0.5);
+    assert!(short_deadline <= Duration::from_millis(100));
 }
