--- a/crates/mesh/src/gate/wait.rs
+++ b/crates/mesh/src/gate/wait.rs
@@ -6,7 +6,7 @@
 use filbert_policy::admission::{
     AdmissionDecision, AdmissionRequest, DeclineReason, WaitOutcome, WaitTicket,
 };
-use filbert_policy::health::RunSign;
+use filbert_policy::health::RunOutcome;
 use filbert_policy::identity::CallIdentity;
 use tokio::sync::oneshot;
 
@@ -31,7 +31,7 @@
 impl RunPermit {
     /// Notes that the target broke the answer off.
     pub fn broke_off(self) {
-        self.gate.record(RunSign::Ill);
+        self.gate.record(RunOutcome::Failure);
         if let Some(run) = self.started() {
             self.gate.mark_later(run.call, run.at);
         }
--- a/crates/policy/src/admission/order.rs
+++ b/crates/policy/src/admission/order.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use super::AdmissionRequest;
-use crate::numbers::whole_of;
+use crate::numbers::truncate_to_u64;
 
 /// Sort key of a waiting call; the call with the least key starts first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -40,7 +40,7 @@
         let run_ms = (request.run.mean.as_secs_f64() * 1_000.0).max(1.0);
         let doublings = run_ms.log2() + f64::from(request.priority) * DOUBLINGS_PER_PRIORITY;
         CallOrder {
-            cost: whole_of(doublings * COST_STEPS_PER_DOUBLING),
+            cost: truncate_to_u64(doublings * COST_STEPS_PER_DOUBLING),
             is_late,
             due: if is_late {
                 request.deadline
@@ -53,7 +53,7 @@
     /// Index of the [`OfferedLoad`] bucket that counts the call. It may exceed
     /// the last bucket.
     fn bucket(self) -> usize {
-        usize::try_from(self.cost / whole_of(COST_STEPS_PER_DOUBLING)).unwrap_or(BUCKETS)
+        usize::try_from(self.cost / truncate_to_u64(COST_STEPS_PER_DOUBLING)).unwrap_or(BUCKETS)
     }
 }
 
--- a/crates/policy/src/budget.rs
+++ b/crates/policy/src/budget.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use crate::numbers::count_of;
+use crate::numbers::count_to_f64;
 
 /// Number of slices that divide a window.
 const WINDOW_SLICES: u32 = 20;
@@ -138,7 +138,7 @@
             RetryCause::NoAnswer => SPENDABLE_SHARE,
             RetryCause::Failed => SPENDABLE_SHARE * FAILED_CALL_SHARE,
         };
-        let slack = self.limits.slack / count_of(daemons.max(1));
+        let slack = self.limits.slack / count_to_f64(daemons.max(1));
         let totals: Vec<(f64, f64)> = self
             .services
             .iter()
