--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -10,8 +10,8 @@
 use filbert_policy::budget::{BudgetTerms, RepeatCause, RetryBudget};
 use filbert_policy::identity::{CallIdentity, IdentityParts};
 use filbert_policy::organisations::keys::{KeyHash, KeyIndex, OrganisationRule, RateLimit};
-use filbert_policy::organisations::quota::{PoolPart, QuotaTerms, TokenPool};
-use filbert_policy::organisations::stash::TokenStash;
+use filbert_policy::organisations::quota::{PoolTopology, QuotaPolicy, TokenPool};
+use filbert_policy::organisations::stash::TokenCache;
 use filbert_policy::placement::{choose, CallShape, CrossingCost, TargetView};
 use filbert_policy::quarantine::{CallRecord, CrashMark, QuarantineBook};
 use filbert_policy::rollout::judge::{CallCounts, TargetCounts, VersionJudge, VersionSide};
@@ -262,14 +262,14 @@
         black_box(index.holder("no key at all"));
     });
     let now = Instant::now();
-    let part = PoolPart {
+    let part = PoolTopology {
         zones: 3,
         pools: 2,
         hosts: 20,
         leased_by: 20,
     };
-    let mut pool = TokenPool::new(QuotaTerms::default());
-    let mut stash = TokenStash::default();
+    let mut pool = TokenPool::new(QuotaPolicy::default());
+    let mut stash = TokenCache::default();
     measure("a token from pool to call", |round| {
         let now = now + Duration::from_millis(u64::from(round));
         stash.granted(pool.grant("one", limit, part.share(), 1, now), now);
--- a/crates/mesh/src/asking.rs
+++ b/crates/mesh/src/asking.rs
@@ -273,7 +273,7 @@
         } else {
             match *shared.members.role.borrow() {
                 StoreRole::Reads => STORE_HEAD_START,
-                StoreRole::Follows if shared.is_told_by(&self.peer.address.id) => Duration::ZERO,
+                StoreRole::Follows if shared.is_upstream(&self.peer.address.id) => Duration::ZERO,
                 StoreRole::Follows if is_near => NEAR_HEAD_START,
                 StoreRole::Follows => FAR_HEAD_START,
             }
--- a/crates/mesh/src/calls/admit.rs
+++ b/crates/mesh/src/calls/admit.rs
@@ -52,11 +52,11 @@
     } else {
         match shared.take_token(&holder, limit).await {
             Ok(token) => token,
-            Err(dry_for) => {
+            Err(next_token_in) => {
                 shared.metrics.keyed("over_quota");
                 desk.counts.over_quota(&holder.name);
                 story.reason = "over_quota";
-                return Err(over_quota(dry_for));
+                return Err(over_quota(next_token_in));
             }
         }
     };
@@ -66,10 +66,10 @@
     Ok(token)
 }
 
-fn over_quota(dry_for: Duration) -> ClientAnswer {
+fn over_quota(next_token_in: Duration) -> ClientAnswer {
     let later = 1.0 + SPREAD * rand::rng().random::<f64>();
     ClientAnswer::Own {
         status: TOO_MANY,
-        come_back: Some(dry_for.mul_f64(later)),
+        come_back: Some(next_token_in.mul_f64(later)),
     }
 }
--- a/crates/mesh/src/calls/mod.rs
+++ b/crates/mesh/src/calls/mod.rs
@@ -143,7 +143,7 @@
         }
     };
     if let (Some(token), true) = (token, answer.says_not_run()) {
-        token.give_back();
+        token.refund();
     }
     answer
 }
--- a/crates/mesh/src/calls/pick.rs
+++ b/crates/mesh/src/calls/pick.rs
@@ -94,7 +94,7 @@
         aim_ms: millis(head.aim_us),
         left_ms: millis(head.left_us),
         is_served_at_home: false,
-        goes_before: head.priority < shared.current_index().last_rank(),
+        goes_before: head.priority < shared.current_index().lowest_priority(),
     };
     let crossing = settings.crossing_cost();
     let among = |seen: Vec<SeenTarget>| choose_among(seen, tried, shape, &crossing);
--- a/crates/mesh/src/feeds.rs
+++ b/crates/mesh/src/feeds.rs
@@ -9,7 +9,7 @@
 use error_stack::Report;
 use filbert_platform::store::{FeedAnswer, StoreError, StoreMoment, OPERATOR_TABLE};
 use filbert_policy::store_asking::{
-    first_look_after, first_version, pause_after, FirstVersion, VersionlessView,
+    backoff_delay, bootstrap_step, initial_query_delay, BootstrapStep, BootstrapView,
 };
 use rand::Rng;
 use tokio::sync::watch::Receiver;
@@ -183,7 +183,7 @@
     let is_first_start = shared.settings.borrow().first_start;
     let spread = rand::rng().random();
     let told = await_members(shared);
-    if tokio::time::timeout(first_look_after(is_first_start, spread), told)
+    if tokio::time::timeout(initial_query_delay(is_first_start, spread), told)
         .await
         .is_ok()
     {
@@ -221,9 +221,9 @@
     tokio::time::sleep(PLAN_TIME).await;
     let began = shared.clock.now();
     while shared.versions.number() == 0 {
-        match first_version(&versionless_view(shared, began)) {
-            FirstVersion::AwaitPeers(left) => tokio::time::sleep(left.min(VERSION_LOOK)).await,
-            FirstVersion::AskStore => {
+        match bootstrap_step(&bootstrap_view(shared, began)) {
+            BootstrapStep::WaitForPeers(left) => tokio::time::sleep(left.min(VERSION_LOOK)).await,
+            BootstrapStep::QueryStore => {
                 ask_once(shared, state).await;
                 if state.failures == 0 {
                     return;
@@ -233,23 +233,23 @@
     }
 }
 
-fn versionless_view(shared: &MeshShared, began: Instant) -> VersionlessView {
+fn bootstrap_view(shared: &MeshShared, began: Instant) -> BootstrapView {
     let settings = Rc::clone(&shared.settings.borrow());
-    let tellers = shared.linked_tellers();
-    let near_with_version = shared.peers.all().into_iter().filter(|peer| {
+    let upstreams = shared.linked_upstreams();
+    let zone_peers_with_version = shared.peers.all().into_iter().filter(|peer| {
         let has_version = peer.version.get().is_some_and(|version| version > 0);
         has_version && peer.is_linked() && peer.address.zone == settings.zone
     });
-    VersionlessView {
+    BootstrapView {
         waited: shared.clock.now().saturating_duration_since(began),
         is_first_start: settings.first_start,
         is_source: shared.members.is_source(),
-        told_by: tellers.len(),
-        without_version: tellers
+        linked_upstreams: upstreams.len(),
+        upstreams_without_version: upstreams
             .iter()
             .filter(|peer| peer.version.get() == Some(0))
             .count(),
-        near_with_version: near_with_version.count(),
+        zone_peers_with_version: zone_peers_with_version.count(),
     }
 }
 
@@ -314,7 +314,7 @@
             // also shows the store's return sooner than a call that waits.
             state.position = None;
             let spread = rand::rng().random();
-            let pause = pause_after(state.failures, shared.ask_purpose(), spread);
+            let pause = backoff_delay(state.failures, shared.store_access(), spread);
             tokio::time::sleep(pause).await;
         }
     }
--- a/crates/mesh/src/members.rs
+++ b/crates/mesh/src/members.rs
@@ -127,7 +127,7 @@
                 called.insert(service.to_owned(), now);
             }
         }
-        let is_left_out = self.plan.borrow().left_out.contains(service);
+        let is_left_out = self.plan.borrow().unlinked_services.contains(service);
         if is_left_out {
             self.changed.notify_one();
         }
--- a/crates/mesh/src/news.rs
+++ b/crates/mesh/src/news.rs
@@ -147,7 +147,7 @@
             return;
         }
         log::info!("event=link_up peer={}", self.peer.address.id);
-        if self.peer.is_failing.replace(false) || self.shared.is_told_by(&self.peer.address.id) {
+        if self.peer.is_failing.replace(false) || self.shared.is_upstream(&self.peer.address.id) {
             self.shared.members.changed.notify_one();
         }
     }
@@ -189,7 +189,7 @@
     fn ask_members(&mut self) -> Result<(), LinkError> {
         let told = self.members_due.take().map(|(_, sum)| sum);
         let is_missed = told != Some(self.shared.members_sum());
-        if is_missed && self.shared.is_told_by(&self.peer.address.id) {
+        if is_missed && self.shared.is_upstream(&self.peer.address.id) {
             self.say(&LinkMessage::WantMembers)?;
         }
         Ok(())
@@ -297,7 +297,7 @@
             ask,
             TokenGrant {
                 tokens: granted,
-                dry_for: Duration::from_micros(dry_us),
+                next_token_in: Duration::from_micros(dry_us),
             },
         ),
         LinkMessage::WantTokens { .. }
--- a/crates/mesh/src/organisations/age.rs
+++ b/crates/mesh/src/organisations/age.rs
@@ -44,27 +44,27 @@
         let version = self.versions.number();
         {
             let mut age = self.organisations.age.borrow_mut();
-            age.note_clock(era, clock, asked);
+            age.record_clock_sample(era, clock, asked);
             let at = clock;
             age.confirm(Confirmation { era, version, at }, version);
         }
         self.tell_age();
     }
 
-    /// Takes word of `teller` on the age of the newest version.
-    pub fn hear_age(&self, told: VersionAge, teller: &Peer) {
-        if !self.is_told_by(&teller.address.id) {
+    /// Takes word of `upstream` on the age of the newest version.
+    pub fn hear_age(&self, told: VersionAge, upstream: &Peer) {
+        if !self.is_upstream(&upstream.address.id) {
             return;
         }
         let desk = &self.organisations;
-        let before = desk.age.borrow().newest();
+        let before = desk.age.borrow().newest_confirmation();
         let version = self.versions.number();
         desk.age.borrow_mut().confirm(told.confirmation(), version);
         let now = self.clock.since_boot();
-        if desk.age.borrow().wants_clock(now) {
-            teller.ask_clock(now);
+        if desk.age.borrow().needs_clock_sample(now) {
+            upstream.ask_clock(now);
         }
-        let is_news = desk.age.borrow().newest() != before;
+        let is_news = desk.age.borrow().newest_confirmation() != before;
         if is_news && !self.members.is_source() {
             self.tell_age();
         }
@@ -74,8 +74,8 @@
     /// a question asked at `asked`, since the own host's start.
     pub fn hear_clock(&self, era: u64, latest: Duration, asked: Duration) {
         let mut age = self.organisations.age.borrow_mut();
-        age.note_clock(era, latest, asked);
-        age.settle(self.versions.number());
+        age.record_clock_sample(era, latest, asked);
+        age.update_for_version(self.versions.number());
     }
 
     /// What the store's clock shows, for a daemon that asked at `asked_us` of its own
@@ -94,8 +94,8 @@
     /// What this daemon knows of the age of the newest version.
     #[must_use]
     pub fn version_age(&self) -> Option<LinkMessage> {
-        let newest = self.organisations.age.borrow().newest()?;
-        Some(LinkMessage::VersionAge(VersionAge::of(newest)))
+        let newest_confirmation = self.organisations.age.borrow().newest_confirmation()?;
+        Some(LinkMessage::VersionAge(VersionAge::of(newest_confirmation)))
     }
 
     fn tell_age(&self) {
--- a/crates/mesh/src/organisations/mod.rs
+++ b/crates/mesh/src/organisations/mod.rs
@@ -13,10 +13,10 @@
 use std::time::Duration;
 
 use filbert_policy::clock::Clock;
-use filbert_policy::organisations::freshness::KnowledgeAge;
+use filbert_policy::organisations::freshness::VersionFreshness;
 use filbert_policy::organisations::keys::OrganisationRule;
 use filbert_policy::organisations::quota::{PoolLeases, TokenGrant, TokenPool};
-use filbert_policy::organisations::stash::TokenStash;
+use filbert_policy::organisations::stash::TokenCache;
 use filbert_policy::routing::{RouteIndex, RouteRule};
 use tokio::sync::{oneshot, Notify};
 
@@ -32,7 +32,7 @@
     clock: Rc<dyn Clock>,
     /// How soon a withdrawn key is refused everywhere, where that is bounded.
     withdrawn_within: Cell<Option<Duration>>,
-    age: RefCell<KnowledgeAge>,
+    age: RefCell<VersionFreshness>,
     /// Whether keys were refused when last looked at, as the age was too high.
     is_stale: Cell<bool>,
     pool: RefCell<TokenPool>,
@@ -46,7 +46,7 @@
     has_limits: Cell<bool>,
     /// Wakes whoever waits for that.
     limits_came: Notify,
-    stashes: RefCell<HashMap<String, StashEntry>>,
+    stashes: RefCell<HashMap<String, TokenCacheEntry>>,
     /// Questions to other daemons' pools that wait for their answers.
     asked: RefCell<HashMap<u64, oneshot::Sender<TokenGrant>>>,
     next_ask: Cell<u64>,
@@ -56,8 +56,8 @@
 
 /// An organisation's tokens at this daemon.
 #[derive(Default)]
-struct StashEntry {
-    stash: TokenStash,
+struct TokenCacheEntry {
+    stash: TokenCache,
     /// Calls that wait for one.
     waiting: u32,
     /// Whether some are being asked for.
@@ -88,7 +88,7 @@
             withdrawn_within: Cell::new(None),
             age: RefCell::default(),
             is_stale: Cell::new(false),
-            pool: RefCell::new(TokenPool::new(settings.quota_terms())),
+            pool: RefCell::new(TokenPool::new(settings.quota_policy())),
             leases: RefCell::default(),
             zone_hosts: Cell::new(1),
             zones: Cell::new(1),
@@ -152,7 +152,7 @@
 
     /// Takes note of the version in force.
     pub fn version_in_force(&self, index: &RouteIndex) {
-        self.age.borrow_mut().settle(index.number());
+        self.age.borrow_mut().update_for_version(index.number());
         let limited = index.organisations().limited();
         let names: Vec<&str> = limited.map(|rule| rule.name.as_str()).collect();
         self.has_limits.set(!names.is_empty());
@@ -175,6 +175,6 @@
 
     /// Takes note that this daemon grants tokens to others from now on.
     pub fn begin_granting(&self) {
-        self.pool.borrow_mut().begin(self.clock.now());
+        self.pool.borrow_mut().clear_buckets(self.clock.now());
     }
 }
--- a/crates/mesh/src/organisations/tokens.rs
+++ b/crates/mesh/src/organisations/tokens.rs
@@ -5,12 +5,12 @@
 use std::time::{Duration, Instant};
 
 use filbert_policy::organisations::keys::{OrganisationRule, RateLimit};
-use filbert_policy::organisations::quota::{PoolPart, TokenGrant, COUNTED_FOR};
-use filbert_policy::organisations::stash::StashVerdict;
+use filbert_policy::organisations::quota::{PoolTopology, TokenGrant, POOL_LEASE_DURATION};
+use filbert_policy::organisations::stash::TakeOutcome;
 use tokio::sync::oneshot;
 use twox_hash::XxHash64;
 
-use super::{OrganisationDesk, StashEntry};
+use super::{OrganisationDesk, TokenCacheEntry};
 use crate::messages::{micros, LinkMessage};
 use crate::peers::Peer;
 use crate::state::MeshShared;
@@ -26,7 +26,7 @@
 /// What a daemon without a pool grants.
 const NOTHING: TokenGrant = TokenGrant {
     tokens: 0,
-    dry_for: NO_POOL,
+    next_token_in: NO_POOL,
 };
 /// Pools that a host asks: those of the two readers that a zone has.
 const POOLS: usize = 2;
@@ -55,11 +55,11 @@
 
 impl TokenHold {
     /// Gives the right back: the call did not run.
-    pub fn give_back(self) {
+    pub fn refund(self) {
         let now = self.desk.clock.now();
         let mut stashes = self.desk.stashes.borrow_mut();
         if let Some(entry) = stashes.get_mut(&self.organisation) {
-            entry.stash.give_back(now);
+            entry.stash.refund(now);
         }
     }
 }
@@ -71,7 +71,11 @@
 }
 
 impl WaitingCall {
-    fn new(desk: &Rc<OrganisationDesk>, organisation: &str, entry: &mut StashEntry) -> WaitingCall {
+    fn new(
+        desk: &Rc<OrganisationDesk>,
+        organisation: &str,
+        entry: &mut TokenCacheEntry,
+    ) -> WaitingCall {
         entry.waiting += 1;
         WaitingCall {
             organisation: organisation.to_owned(),
@@ -126,8 +130,8 @@
                 let mut stashes = self.organisations.stashes.borrow_mut();
                 let entry = stashes.entry(name.to_owned()).or_default();
                 match entry.stash.take(now) {
-                    StashVerdict::Taken => {
-                        let asks = entry.stash.runs_low(now) && !entry.is_asking;
+                    TakeOutcome::Taken => {
+                        let asks = entry.stash.needs_refill(now) && !entry.is_asking;
                         entry.is_asking |= asks;
                         drop(stashes);
                         if asks {
@@ -135,8 +139,8 @@
                         }
                         return Ok(Some(self.hold(name)));
                     }
-                    StashVerdict::Dry(left) => return Err(left),
-                    StashVerdict::Ask => {}
+                    TakeOutcome::Exhausted(left) => return Err(left),
+                    TakeOutcome::RequestMore => {}
                 }
                 let waiting = WaitingCall::new(&self.organisations, name, entry);
                 let asks = !std::mem::replace(&mut entry.is_asking, true);
@@ -181,7 +185,7 @@
 
     /// Asks one pool after the other until one has tokens for `organisation`.
     async fn ask_pools(&self, organisation: &str) -> TokenGrant {
-        let mut dry_for: Option<Duration> = None;
+        let mut next_token_in: Option<Duration> = None;
         for place in self.pools_for(organisation) {
             let wanted = self.organisations.wanted(organisation);
             let grant = match place {
@@ -191,14 +195,17 @@
             match grant {
                 Some(grant) if grant.tokens > 0 => return grant,
                 Some(grant) => {
-                    dry_for = Some(dry_for.map_or(grant.dry_for, |least| least.min(grant.dry_for)));
+                    next_token_in = Some(
+                        next_token_in
+                            .map_or(grant.next_token_in, |least| least.min(grant.next_token_in)),
+                    );
                 }
                 None => {}
             }
         }
         TokenGrant {
             tokens: 0,
-            dry_for: dry_for.unwrap_or(NO_POOL),
+            next_token_in: next_token_in.unwrap_or(NO_POOL),
         }
     }
 
@@ -273,7 +280,7 @@
         let Some(limit) = self.limit_of(organisation) else {
             return NOTHING;
         };
-        let share = self.pool_part().share();
+        let share = self.pool_topology().share();
         let now = self.clock.now();
         let mut pool = self.organisations.pool.borrow_mut();
         pool.grant(organisation, limit, share, wanted, now)
@@ -284,17 +291,17 @@
         index.organisations().organisation(organisation)?.limit
     }
 
-    fn pool_part(&self) -> PoolPart {
+    fn pool_topology(&self) -> PoolTopology {
         let settings = self.settings.borrow();
         let now = self.clock.now();
-        let since = now.checked_sub(COUNTED_FOR).unwrap_or(now);
+        let since = now.checked_sub(POOL_LEASE_DURATION).unwrap_or(now);
         let hosts = self.organisations.zone_hosts.get();
         let is_own = self
             .organisations
             .leases
             .borrow()
-            .counts_at(&settings.id, now);
-        PoolPart {
+            .is_counted_at(&settings.id, now);
+        PoolTopology {
             zones: settings.zones.len().max(self.organisations.zones.get()),
             pools: POOLS.min(hosts),
             hosts,
@@ -345,6 +352,6 @@
     LinkMessage::Tokens {
         ask,
         granted: grant.tokens,
-        dry_us: micros(grant.dry_for),
+        dry_us: micros(grant.next_token_in),
     }
 }
--- a/crates/mesh/src/peers.rs
+++ b/crates/mesh/src/peers.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use filbert_policy::clock::Clock;
 use filbert_policy::instance::InstanceKey;
-use filbert_policy::membership::HostReach;
+use filbert_policy::membership::Reachability;
 use h2::client::SendRequest;
 use tokio::sync::Notify;
 
@@ -198,13 +198,13 @@
 
     /// Whether it answers.
     #[must_use]
-    pub fn reach(&self) -> HostReach {
+    pub fn reachability(&self) -> Reachability {
         if self.is_failing.get() {
-            HostReach::Failing
+            Reachability::Unreachable
         } else if self.is_silent.get() {
-            HostReach::Silent
+            Reachability::Unresponsive
         } else {
-            HostReach::Answers
+            Reachability::Reachable
         }
     }
 
--- a/crates/mesh/src/plan.rs
+++ b/crates/mesh/src/plan.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use filbert_policy::membership::{plan_links, HostReach, HostView, LinkLimits};
-use filbert_policy::store_asking::AskPurpose;
+use filbert_policy::membership::{plan_links, HostView, LinkLimits, Reachability};
+use filbert_policy::store_asking::StoreAccess;
 
 use crate::links;
 use crate::members::StoreRole;
@@ -31,12 +31,12 @@
 impl MeshShared {
     /// The linked daemons that are to tell this one what lies in the store.
     #[must_use]
-    pub fn linked_tellers(&self) -> Vec<Rc<Peer>> {
+    pub fn linked_upstreams(&self) -> Vec<Rc<Peer>> {
         let plan = self.members.plan.borrow();
         if plan.is_source {
             return Vec::new();
         }
-        plan.tellers()
+        plan.upstreams()
             .iter()
             .filter_map(|id| self.peers.get(id))
             .filter(|peer| peer.is_linked())
@@ -45,27 +45,27 @@
 
     /// For whom this daemon asks the store.
     #[must_use]
-    pub fn ask_purpose(&self) -> AskPurpose {
+    pub fn store_access(&self) -> StoreAccess {
         if self.members.is_source() {
-            AskPurpose::ForOthers
+            StoreAccess::ForFleet
         } else {
-            AskPurpose::Alone
+            StoreAccess::ForOwnHost
         }
     }
 
     /// Whether `id` tells this daemon what lies in the store.
     #[must_use]
-    pub fn is_told_by(&self, id: &str) -> bool {
-        self.members.plan.borrow().tellers().contains(id)
+    pub fn is_upstream(&self, id: &str) -> bool {
+        self.members.plan.borrow().upstreams().contains(id)
     }
 
     /// Settles whether this daemon asks the store or is told; when to look
     /// again, if that is due soon.
     fn take_role(&self) -> Option<Duration> {
-        let mut tellers = self.linked_tellers();
-        tellers.retain(|peer| peer.store.get().tells());
+        let mut upstreams = self.linked_upstreams();
+        upstreams.retain(|peer| peer.store.get().tells());
         let now = self.clock.now();
-        let untold_for = self.members.note_told(!tellers.is_empty(), now);
+        let untold_for = self.members.note_told(!upstreams.is_empty(), now);
         let may_wait = !self.members.is_source() && self.follows();
         let role = if untold_for.is_none() || (may_wait && untold_for < Some(UNTOLD_FOR)) {
             StoreRole::Follows
@@ -80,7 +80,7 @@
             log::info!("event=store_role role={role:?}");
         }
         if role == StoreRole::Follows {
-            self.pass_on(&tellers);
+            self.pass_on(&upstreams);
             return untold_for.map(|passed| UNTOLD_FOR.saturating_sub(passed));
         }
         None
@@ -88,11 +88,11 @@
 
     /// Readers pass on what they are told: they follow those that tell them,
     /// and say so to others.
-    fn pass_on(&self, tellers: &[Rc<Peer>]) {
+    fn pass_on(&self, upstreams: &[Rc<Peer>]) {
         if self.members.is_reader() {
             self.set_store_state(StoreState::Told);
-            for teller in tellers {
-                teller.follow();
+            for upstream in upstreams {
+                upstream.follow();
             }
         } else {
             self.set_store_state(StoreState::Unused);
@@ -117,11 +117,11 @@
                     id: &address.id,
                     zone: &address.zone,
                     service: &address.service,
-                    reach: peer
+                    reachability: peer
                         .as_ref()
-                        .map_or(HostReach::Answers, |peer| peer.reach()),
+                        .map_or(Reachability::Reachable, |peer| peer.reachability()),
                     lost_store: peer.is_some_and(|peer| peer.store.get() == StoreState::Lost),
-                    is_listed: true,
+                    is_registered: true,
                 }
             })
             .collect();
@@ -129,9 +129,9 @@
             id: &own.id,
             zone: &own.zone,
             service: &own.service,
-            reach: HostReach::Answers,
+            reachability: Reachability::Reachable,
             lost_store: false,
-            is_listed: self.members.rows.was_own_seen(),
+            is_registered: self.members.rows.was_own_seen(),
         };
         let called = self.members.called_of_late(self.clock.now());
         let called: Vec<&str> = called.iter().map(String::as_str).collect();
@@ -171,7 +171,7 @@
                 after.is_reader,
                 after.sources,
                 after.is_source,
-                after.left_out.len()
+                after.unlinked_services.len()
             );
         }
     }
--- a/crates/mesh/src/rollouts/record.rs
+++ b/crates/mesh/src/rollouts/record.rs
@@ -11,7 +11,7 @@
 use filbert_platform::rollouts::{self, RolloutState};
 use filbert_platform::store::{RowCondition, RowEdit, StoreRow, WriteEnd};
 use filbert_policy::rollout::note::{OrderId, RolloutNote, RolloutStage};
-use filbert_policy::store_asking::pause_after;
+use filbert_policy::store_asking::backoff_delay;
 use rand::Rng;
 
 use super::row::{key_of, RolloutRow};
@@ -73,7 +73,7 @@
             }
             failures += 1;
             let spread = rand::rng().random();
-            tokio::time::sleep(pause_after(failures, shared.ask_purpose(), spread)).await;
+            tokio::time::sleep(backoff_delay(failures, shared.store_access(), spread)).await;
             shared.rollouts.has_unwritten.notify_one();
         }
     }
--- a/crates/mesh/src/rollouts/spread.rs
+++ b/crates/mesh/src/rollouts/spread.rs
@@ -84,9 +84,9 @@
         if self.members.is_source() || tallies.is_empty() {
             return;
         }
-        for teller in self.linked_tellers() {
+        for upstream in self.linked_upstreams() {
             for part in tallies.chunks(MOST_TALLIES) {
-                teller.say(LinkMessage::Tallies(part.to_vec()));
+                upstream.say(LinkMessage::Tallies(part.to_vec()));
             }
         }
     }
--- a/crates/mesh/src/rows.rs
+++ b/crates/mesh/src/rows.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use filbert_platform::store::{RowEdit, StoreRow, MOST_EDITS};
-use filbert_policy::store_asking::pause_after;
+use filbert_policy::store_asking::backoff_delay;
 use rand::Rng;
 use tokio::sync::Notify;
 
@@ -150,16 +150,16 @@
     /// daemon asked for it.
     pub fn see_to_row(&self, change: RowChange, is_passed_on: bool) {
         // One that asks the store itself first, else one that is told.
-        let teller = self
-            .linked_tellers()
+        let upstream = self
+            .linked_upstreams()
             .into_iter()
-            .filter(|teller| teller.store.get().is_current())
-            .min_by_key(|teller| teller.store.get() == StoreState::Told);
+            .filter(|upstream| upstream.store.get().is_current())
+            .min_by_key(|upstream| upstream.store.get() == StoreState::Told);
         let message = LinkMessage::WantRow {
             change: change.clone(),
             is_passed_on,
         };
-        let is_seen_to = self.follows() && teller.is_some_and(|teller| teller.say(message));
+        let is_seen_to = self.follows() && upstream.is_some_and(|upstream| upstream.say(message));
         if !is_seen_to {
             self.members.rows.want(change);
         }
@@ -189,7 +189,7 @@
         failures += 1;
         rows.put_back(changes);
         let spread = rand::rng().random();
-        tokio::time::sleep(pause_after(failures, shared.ask_purpose(), spread)).await;
+        tokio::time::sleep(backoff_delay(failures, shared.store_access(), spread)).await;
     }
 }
 
--- a/crates/mesh/src/settings.rs
+++ b/crates/mesh/src/settings.rs
@@ -8,8 +8,8 @@
 use error_stack::{Report, ResultExt};
 use filbert_platform::operator::parse_time;
 use filbert_policy::budget::BudgetTerms;
-use filbert_policy::membership::DEFAULT_SERVICES;
-use filbert_policy::organisations::quota::QuotaTerms;
+use filbert_policy::membership::DEFAULT_LINKED_SERVICES;
+use filbert_policy::organisations::quota::QuotaPolicy;
 use filbert_policy::placement::CrossingCost;
 use filbert_tree::ParseError;
 use serde::{Deserialize, Deserializer};
@@ -115,7 +115,7 @@
     fn default() -> Self {
         LinkSettings {
             mbps: 0.0,
-            services: DEFAULT_SERVICES,
+            services: DEFAULT_LINKED_SERVICES,
         }
     }
 }
@@ -328,8 +328,8 @@
 
     /// How organisations' limits are meant.
     #[must_use]
-    pub fn quota_terms(&self) -> QuotaTerms {
-        QuotaTerms {
+    pub fn quota_policy(&self) -> QuotaPolicy {
+        QuotaPolicy {
             window: self.quota.window,
             slack: self.quota.slack,
         }
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -15,25 +15,25 @@
     /// The service of its target.
     pub service: &'a str,
     /// Whether its daemon answers.
-    pub reach: HostReach,
+    pub reachability: Reachability,
     /// Whether its daemon said that it has lost the store.
     pub lost_store: bool,
     /// Whether its row is in the store. A host that just came and knows a few
     /// others only would take itself for the first of them all.
-    pub is_listed: bool,
+    pub is_registered: bool,
 }
 
 /// Whether a host's daemon answers, as far as one that links to it knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum HostReach {
+pub enum Reachability {
     /// It does, or was not asked yet.
     #[default]
-    Answers,
+    Reachable,
     /// It does not just now, over a link that stands. Its target is still
     /// linked to, but nobody waits to be told by it.
-    Silent,
+    Unresponsive,
     /// Links to it have failed of late.
-    Failing,
+    Unreachable,
 }
 
 /// How many links a daemon keeps.
@@ -68,7 +68,7 @@
 /// Services linked to unless settings say otherwise: up to here a fleet is so
 /// small that being ready for all of them costs less than a first call that
 /// waits for a link.
-pub const DEFAULT_SERVICES: usize = 24;
+pub const DEFAULT_LINKED_SERVICES: usize = 24;
 
 impl Default for LinkLimits {
     fn default() -> Self {
@@ -78,7 +78,7 @@
             readers: 2,
             sources: 2,
             most_sources: 6,
-            services: DEFAULT_SERVICES,
+            services: DEFAULT_LINKED_SERVICES,
             most_readers: 4,
         }
     }
@@ -100,14 +100,14 @@
     /// Whether this daemon is one of them.
     pub is_source: bool,
     /// Services that are not linked to until a call wants one.
-    pub left_out: BTreeSet<String>,
+    pub unlinked_services: BTreeSet<String>,
 }
 
 impl LinkPlan {
     /// The hosts that tell this daemon what lies in the store: a reader is told
     /// by the sources, any other by the readers of its zone.
     #[must_use]
-    pub fn tellers(&self) -> &BTreeSet<String> {
+    pub fn upstreams(&self) -> &BTreeSet<String> {
         if self.is_reader {
             &self.sources
         } else {
@@ -170,7 +170,7 @@
     let mut services: BTreeSet<&str> = others.iter().map(|host| host.service).collect();
     if services.len() > limits.services {
         let kept = &called[..called.len().min(limits.services)];
-        plan.left_out = services
+        plan.unlinked_services = services
             .iter()
             .filter(|service| !kept.contains(service))
             .map(|service| (*service).to_owned())
@@ -196,7 +196,7 @@
             break;
         }
         links.insert(host.id.to_owned());
-        live += usize::from(host.reach != HostReach::Failing);
+        live += usize::from(host.reachability != Reachability::Unreachable);
     }
     live
 }
@@ -222,7 +222,7 @@
         .chain(std::iter::once(own))
         .map(|host| {
             let rank = XxHash64::oneshot(TELLER_SEED, host.id.as_bytes());
-            (!host.is_listed, rank, host)
+            (!host.is_registered, rank, host)
         })
         .collect();
     ranked.sort_unstable_by_key(|(is_unlisted, rank, host)| (*is_unlisted, *rank, host.id));
@@ -251,20 +251,20 @@
     let mut live = 0;
     let mut answering = 0;
     for host in ranked {
-        if live == wanted || answering == most || (live > 0 && !host.is_listed) {
+        if live == wanted || answering == most || (live > 0 && !host.is_registered) {
             break;
         }
         taken.insert(host.id.to_owned());
-        let answers = host.reach == HostReach::Answers;
+        let answers = host.reachability == Reachability::Reachable;
         live += usize::from(answers && !host.lost_store);
         answering += usize::from(answers);
     }
     taken
 }
 
-fn split_own(mut tellers: BTreeSet<String>, own: &HostView<'_>) -> (bool, BTreeSet<String>) {
-    let is_own = tellers.remove(own.id);
-    (is_own, tellers)
+fn split_own(mut upstreams: BTreeSet<String>, own: &HostView<'_>) -> (bool, BTreeSet<String>) {
+    let is_own = upstreams.remove(own.id);
+    (is_own, upstreams)
 }
 
 /// Seed of the order in which daemons ask the store for others.
--- a/crates/policy/src/organisations/freshness.rs
+++ b/crates/policy/src/organisations/freshness.rs
@@ -87,20 +87,20 @@
 
 /// What a daemon knows of the age of its version.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct KnowledgeAge {
+pub struct VersionFreshness {
     /// The store's era that `clock` and `pending` belong to.
     era: u64,
     clock: ClockBound,
     /// The newest confirmation, of the version in force or a later one.
-    newest: Option<Confirmation>,
+    newest_confirmation: Option<Confirmation>,
     /// When the version in force was the store's newest, on the own clock.
     confirmed: Option<Duration>,
 }
 
-impl KnowledgeAge {
+impl VersionFreshness {
     /// Takes a reading of the store's clock in `era`: it was asked for at `ours`
     /// and showed at most `theirs` then.
-    pub fn note_clock(&mut self, era: u64, theirs: Duration, ours: Duration) {
+    pub fn record_clock_sample(&mut self, era: u64, theirs: Duration, ours: Duration) {
         self.enter(era);
         if era == self.era {
             self.clock.note(theirs, ours);
@@ -113,26 +113,33 @@
         if confirmation.era != self.era {
             return;
         }
-        let is_newer = self.newest.is_none_or(|known| confirmation.at > known.at);
+        let is_newer = self
+            .newest_confirmation
+            .is_none_or(|known| confirmation.at > known.at);
         if is_newer {
-            self.newest = Some(confirmation);
-            self.settle(in_force);
+            self.newest_confirmation = Some(confirmation);
+            self.update_for_version(in_force);
         }
     }
 
     /// Takes note that version `in_force` is.
-    pub fn settle(&mut self, in_force: u64) {
-        let Some(newest) = self.newest.filter(|newest| newest.version <= in_force) else {
+    pub fn update_for_version(&mut self, in_force: u64) {
+        let Some(newest_confirmation) = self
+            .newest_confirmation
+            .filter(|newest_confirmation| newest_confirmation.version <= in_force)
+        else {
             return;
         };
-        self.confirmed = self.confirmed.max(self.clock.earliest(newest.at));
+        self.confirmed = self
+            .confirmed
+            .max(self.clock.earliest(newest_confirmation.at));
     }
 
     /// The newest confirmation of the version in force or an older one, to be
     /// passed on.
     #[must_use]
-    pub fn newest(&self) -> Option<Confirmation> {
-        self.newest
+    pub fn newest_confirmation(&self) -> Option<Confirmation> {
+        self.newest_confirmation
     }
 
     /// What the store's clock shows at most at `now`, and its era; `None` before
@@ -144,7 +151,7 @@
 
     /// Whether the store's clock is to be read (again) at `now`.
     #[must_use]
-    pub fn wants_clock(&self, now: Duration) -> bool {
+    pub fn needs_clock_sample(&self, now: Duration) -> bool {
         let reading = self.clock.reading;
         reading.is_none_or(|reading| now.saturating_sub(reading.ours) > READ_AGAIN_AFTER)
     }
@@ -162,7 +169,7 @@
         if era > self.era {
             self.era = era;
             self.clock = ClockBound::default();
-            self.newest = None;
+            self.newest_confirmation = None;
         }
     }
 }
--- a/crates/policy/src/organisations/keys.rs
+++ b/crates/policy/src/organisations/keys.rs
@@ -105,7 +105,7 @@
 
     /// The least urgent rank of any organisation; `None` where none has one.
     #[must_use]
-    pub fn last_rank(&self) -> Option<u8> {
+    pub fn lowest_priority(&self) -> Option<u8> {
         let ranks = self.organisations.values();
         ranks.filter_map(|organisation| organisation.priority).max()
     }
--- a/crates/policy/src/organisations/quota.rs
+++ b/crates/policy/src/organisations/quota.rs
@@ -23,7 +23,7 @@
 /// How often a host renews its lease at a pool.
 const RENEW_EVERY: Duration = Duration::from_millis(400);
 /// Time for which a pool counts a part after a renewal: two may be late.
-pub const COUNTED_FOR: Duration = Duration::from_millis(1_200);
+pub const POOL_LEASE_DURATION: Duration = Duration::from_millis(1_200);
 /// Time after which a host takes a lease to have run out: that and the way there.
 const RUNS_OUT_AFTER: Duration = Duration::from_millis(1_600);
 
@@ -33,7 +33,7 @@
 
 /// How limits are meant.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct QuotaTerms {
+pub struct QuotaPolicy {
     /// Any window of this length may hold a limit's rate times the window and its
     /// burst; `None` where a burst is used up once.
     pub window: Option<Duration>,
@@ -41,7 +41,7 @@
     pub slack: f64,
 }
 
-impl QuotaTerms {
+impl QuotaPolicy {
     /// How tokens come into being under `limit`, over all pools.
     fn flow(self, limit: RateLimit) -> RateLimit {
         let flowing = self.window.map_or(0.0, |_| limit.burst * FLOWING_PART);
@@ -55,7 +55,7 @@
 
 /// How many pools an organisation's tokens come from.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PoolPart {
+pub struct PoolTopology {
     /// Availability zones of the fleet.
     pub zones: usize,
     /// Pools that each host asks.
@@ -66,7 +66,7 @@
     pub leased_by: usize,
 }
 
-impl PoolPart {
+impl PoolTopology {
     /// The part of an organisation's tokens that come into being in the pool.
     ///
     /// Guards against a zone that falls apart, each part taking itself for the
@@ -109,9 +109,9 @@
 
     /// Whether this host's part counts at `pool`.
     #[must_use]
-    pub fn counts_at(&self, pool: &str, now: Instant) -> bool {
+    pub fn is_counted_at(&self, pool: &str, now: Instant) -> bool {
         let renewed = self.renewed.get(pool);
-        renewed.is_some_and(|at| now < *at + COUNTED_FOR)
+        renewed.is_some_and(|at| now < *at + POOL_LEASE_DURATION)
     }
 }
 
@@ -121,7 +121,7 @@
     /// Calls that may run.
     pub tokens: u32,
     /// Time until the next token when there is none.
-    pub dry_for: Duration,
+    pub next_token_in: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -143,7 +143,7 @@
 #[derive(Debug)]
 pub struct TokenPool {
     buckets: HashMap<String, TokenBucket>,
-    terms: QuotaTerms,
+    terms: QuotaPolicy,
 }
 
 impl TokenPool {
@@ -152,7 +152,7 @@
     /// The slack in its terms is for organisations whose burst is less than a call
     /// for each pool: they would never be granted any.
     #[must_use]
-    pub fn new(terms: QuotaTerms) -> TokenPool {
+    pub fn new(terms: QuotaPolicy) -> TokenPool {
         TokenPool {
             buckets: HashMap::new(),
             terms,
@@ -188,7 +188,7 @@
         bucket.tokens -= f64::from(tokens);
         TokenGrant {
             tokens,
-            dry_for: dry_for(1.0 - bucket.tokens, per_s),
+            next_token_in: next_token_in(1.0 - bucket.tokens, per_s),
         }
     }
 
@@ -204,14 +204,14 @@
     }
 
     /// Empties all buckets: the daemon has only now become one that grants.
-    pub fn begin(&mut self, now: Instant) {
+    pub fn clear_buckets(&mut self, now: Instant) {
         for bucket in self.buckets.values_mut() {
             *bucket = TokenBucket::empty(now);
         }
     }
 }
 
-fn dry_for(missing: f64, per_s: f64) -> Duration {
+fn next_token_in(missing: f64, per_s: f64) -> Duration {
     if missing <= 0.0 {
         return Duration::ZERO;
     }
--- a/crates/policy/src/organisations/stash.rs
+++ b/crates/policy/src/organisations/stash.rs
@@ -15,18 +15,18 @@
 
 /// What becomes of a call that wants a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StashVerdict {
+pub enum TakeOutcome {
     /// It has one.
     Taken,
     /// One has to be asked for.
-    Ask,
+    RequestMore,
     /// There is none for this long.
-    Dry(Duration),
+    Exhausted(Duration),
 }
 
 /// An organisation's tokens at one daemon.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct TokenStash {
+pub struct TokenCache {
     tokens: u32,
     granted: Option<Instant>,
     dry_until: Option<Instant>,
@@ -35,24 +35,24 @@
     counted: Option<Instant>,
 }
 
-impl TokenStash {
+impl TokenCache {
     /// Takes a token for a call, if there is one.
-    pub fn take(&mut self, now: Instant) -> StashVerdict {
+    pub fn take(&mut self, now: Instant) -> TakeOutcome {
         self.drop_old(now);
         if self.tokens > 0 {
             self.tokens -= 1;
             self.count(now);
-            return StashVerdict::Taken;
+            return TakeOutcome::Taken;
         }
         match self.dry_until {
-            Some(until) if now < until => StashVerdict::Dry(until - now),
-            _ => StashVerdict::Ask,
+            Some(until) if now < until => TakeOutcome::Exhausted(until - now),
+            _ => TakeOutcome::RequestMore,
         }
     }
 
     /// Whether tokens are to be asked for before the next call wants one.
     #[must_use]
-    pub fn runs_low(&self, now: Instant) -> bool {
+    pub fn needs_refill(&self, now: Instant) -> bool {
         let is_dry = self.dry_until.is_some_and(|until| now < until);
         !is_dry && self.tokens < self.ahead()
     }
@@ -71,12 +71,12 @@
             self.granted = Some(now);
             self.dry_until = None;
         } else {
-            self.dry_until = Some(now + grant.dry_for);
+            self.dry_until = Some(now + grant.next_token_in);
         }
     }
 
     /// Takes back the token of a call that did not run.
-    pub fn give_back(&mut self, now: Instant) {
+    pub fn refund(&mut self, now: Instant) {
         self.drop_old(now);
         self.tokens += 1;
         self.granted.get_or_insert(now);
--- a/crates/policy/src/routing.rs
+++ b/crates/policy/src/routing.rs
@@ -115,7 +115,7 @@
 pub struct RouteIndex {
     number: u64,
     limits: ClientLimits,
-    last_rank: u8,
+    lowest_priority: u8,
     services: Vec<ServiceRule>,
     organisations: KeyIndex,
     hosts: HashMap<String, HashMap<String, Arc<RouteRule>>>,
@@ -127,7 +127,7 @@
     pub fn compile(version: MeshVersion) -> RouteIndex {
         let organisations = KeyIndex::compile(version.organisations);
         let ranks = version.routes.iter().map(|route| route.priority);
-        let last_rank = ranks.chain(organisations.last_rank()).max();
+        let lowest_priority = ranks.chain(organisations.lowest_priority()).max();
         let mut hosts: HashMap<String, HashMap<String, Arc<RouteRule>>> = HashMap::new();
         for route in version.routes {
             hosts
@@ -138,7 +138,7 @@
         RouteIndex {
             number: version.number,
             limits: version.limits,
-            last_rank: last_rank.unwrap_or(0),
+            lowest_priority: lowest_priority.unwrap_or(0),
             services: version.services,
             organisations,
             hosts,
@@ -165,8 +165,8 @@
 
     /// The least urgent rank of any call.
     #[must_use]
-    pub fn last_rank(&self) -> u8 {
-        self.last_rank
+    pub fn lowest_priority(&self) -> u8 {
+        self.lowest_priority
     }
 
     /// Longest time for which a call to `service` is worked on.
--- a/crates/policy/src/store_asking.rs
+++ b/crates/policy/src/store_asking.rs
@@ -30,11 +30,11 @@
 
 /// For whom a daemon asks the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AskPurpose {
+pub enum StoreAccess {
     /// For all that follow it.
-    ForOthers,
+    ForFleet,
     /// For itself: no daemon that asks is linked.
-    Alone,
+    ForOwnHost,
 }
 
 /// The pause after `failures` calls in vain, one after the other; `spread` is a
@@ -45,12 +45,12 @@
 /// outage; the pause doubles, to two seconds for a daemon that asks for itself
 /// alone. It is spread, so that a herd does not call in step.
 #[must_use]
-pub fn pause_after(failures: u32, purpose: AskPurpose, spread: f64) -> Duration {
+pub fn backoff_delay(failures: u32, purpose: StoreAccess, spread: f64) -> Duration {
     /// Doublings after which every longest pause is reached.
     const MOST_DOUBLINGS: u32 = 8;
     let longest = match purpose {
-        AskPurpose::ForOthers => LONGEST_FOR_OTHERS,
-        AskPurpose::Alone => LONGEST_ALONE,
+        StoreAccess::ForFleet => LONGEST_FOR_OTHERS,
+        StoreAccess::ForOwnHost => LONGEST_ALONE,
     };
     let doublings = failures.saturating_sub(1).min(MOST_DOUBLINGS);
     let pause = (FIRST_PAUSE * 2_u32.pow(doublings)).min(longest);
@@ -64,7 +64,7 @@
 /// for a table that takes 150 a second; one after the other all but the first
 /// few of a zone find a daemon there that writes rows for them, many in one.
 #[must_use]
-pub fn first_look_after(is_first_start: bool, spread: f64) -> Duration {
+pub fn initial_query_delay(is_first_start: bool, spread: f64) -> Duration {
     if is_first_start {
         FIRST_LOOK_OVER.mul_f64(spread.clamp(0.0, 1.0))
     } else {
@@ -74,7 +74,7 @@
 
 /// What a daemon without a version sees.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct VersionlessView {
+pub struct BootstrapView {
     /// Time since it knows its peers.
     pub waited: Duration,
     /// Whether the whole fleet starts for the first time.
@@ -82,20 +82,20 @@
     /// Whether it asks the store for others.
     pub is_source: bool,
     /// Daemons linked that it is told by.
-    pub told_by: usize,
+    pub linked_upstreams: usize,
     /// Those of them that said that they have no version either.
-    pub without_version: usize,
+    pub upstreams_without_version: usize,
     /// Linked peers of its zone that have a version.
-    pub near_with_version: usize,
+    pub zone_peers_with_version: usize,
 }
 
 /// How a daemon gets its first version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FirstVersion {
+pub enum BootstrapStep {
     /// From the store, now.
-    AskStore,
+    QueryStore,
     /// From a peer that may still speak up; the store is asked after this time.
-    AwaitPeers(Duration),
+    WaitForPeers(Duration),
 }
 
 /// Decides where a daemon without a version gets one.
@@ -105,9 +105,10 @@
 /// link, and costs the store nothing. When nobody has one, as after a loss of
 /// power, the store is the quickest for all.
 #[must_use]
-pub fn first_version(view: &VersionlessView) -> FirstVersion {
-    let nobody_has_one = view.told_by > 0 && view.without_version >= view.told_by;
-    let patience = if view.near_with_version > 0 {
+pub fn bootstrap_step(view: &BootstrapView) -> BootstrapStep {
+    let nobody_has_one =
+        view.linked_upstreams > 0 && view.upstreams_without_version >= view.linked_upstreams;
+    let patience = if view.zone_peers_with_version > 0 {
         TEXT_WITHIN
     } else if view.is_source || (nobody_has_one && !view.is_first_start) {
         Duration::ZERO
@@ -117,7 +118,7 @@
         PEERS_WITHIN
     };
     match patience.checked_sub(view.waited) {
-        Some(left) if !left.is_zero() => FirstVersion::AwaitPeers(left),
-        _ => FirstVersion::AskStore,
+        Some(left) if !left.is_zero() => BootstrapStep::WaitForPeers(left),
+        _ => BootstrapStep::QueryStore,
     }
 }
--- a/crates/policy/tests/key_cases.rs
+++ b/crates/policy/tests/key_cases.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use filbert_policy::organisations::freshness::{ClockBound, Confirmation, KnowledgeAge};
+use filbert_policy::organisations::freshness::{ClockBound, Confirmation, VersionFreshness};
 use filbert_policy::organisations::keys::{KeyHash, KeyIndex, OrganisationRule};
 use proptest::prelude::*;
 use rstest::rstest;
@@ -35,7 +35,7 @@
     ]);
     let holder = index.holder(case.key).map(|holder| holder.name.as_str());
     assert_eq!(holder, case.holder);
-    assert_eq!(index.last_rank(), Some(3));
+    assert_eq!(index.lowest_priority(), Some(3));
 }
 
 /// Guards against keys in logs: a rule is printed when a test or a line fails.
@@ -71,9 +71,9 @@
 #[case(AgeCase { name: "no clock", clock: None, era: 1, in_force: 7, age: None })]
 #[case(AgeCase { name: "clock of an older era", clock: Some(20 * S), era: 0, in_force: 7, age: None })]
 fn the_age_is_known_only_of_the_newest_version(#[case] case: AgeCase) {
-    let mut age = KnowledgeAge::default();
+    let mut age = VersionFreshness::default();
     if let Some(clock) = case.clock {
-        age.note_clock(case.era, ms(clock), ms(100 * S));
+        age.record_clock_sample(case.era, ms(clock), ms(100 * S));
     }
     let confirmation = Confirmation {
         era: 1,
@@ -89,8 +89,8 @@
 /// would stay unknown until the next.
 #[test]
 fn a_version_that_comes_later_takes_the_age_told_before() {
-    let mut age = KnowledgeAge::default();
-    age.note_clock(1, ms(20 * S), ms(100 * S));
+    let mut age = VersionFreshness::default();
+    age.record_clock_sample(1, ms(20 * S), ms(100 * S));
     let at = ms(20 * S);
     age.confirm(
         Confirmation {
@@ -101,7 +101,7 @@
         6,
     );
     assert_eq!(age.age(ms(101 * S)), None);
-    age.settle(7);
+    age.update_for_version(7);
     assert_eq!(age.age(ms(101 * S)), Some(ms(S)));
 }
 
@@ -119,7 +119,7 @@
         let [store, reader, follower] = skews;
         let mut at = 0;
         let mut reader_clock = ClockBound::default();
-        let mut follower_age = KnowledgeAge::default();
+        let mut follower_age = VersionFreshness::default();
         let mut newest_read = None;
         for (there, back, told) in hops {
             let asked = at;
@@ -131,7 +131,7 @@
             let answered = asked + there;
             let latest = reader_clock.latest(ms(answered + reader)).expect("a reading");
             at = answered + back;
-            follower_age.note_clock(1, latest, ms(asked + follower));
+            follower_age.record_clock_sample(1, latest, ms(asked + follower));
             at += told;
             let confirmation = Confirmation { era: 1, version: 1, at: ms(read + store) };
             follower_age.confirm(confirmation, 1);
--- a/crates/policy/tests/membership_cases.rs
+++ b/crates/policy/tests/membership_cases.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use filbert_policy::membership::{plan_links, HostReach, HostView, LinkLimits, LinkPlan};
+use filbert_policy::membership::{plan_links, HostView, LinkLimits, LinkPlan, Reachability};
 use rstest::rstest;
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
@@ -13,7 +13,7 @@
     service: &'static str,
     is_failing: bool,
     lost_store: bool,
-    is_listed: bool,
+    is_registered: bool,
 }
 
 impl TestHost {
@@ -22,13 +22,13 @@
             id: &self.id,
             zone: self.zone,
             service: self.service,
-            reach: if self.is_failing {
-                HostReach::Failing
+            reachability: if self.is_failing {
+                Reachability::Unreachable
             } else {
-                HostReach::Answers
+                Reachability::Reachable
             },
             lost_store: self.lost_store,
-            is_listed: self.is_listed,
+            is_registered: self.is_registered,
         }
     }
 }
@@ -42,7 +42,7 @@
             service: if number % 6 == 5 { "art" } else { "quotes" },
             is_failing: false,
             lost_store: false,
-            is_listed: true,
+            is_registered: true,
         })
         .collect()
 }
@@ -101,12 +101,12 @@
             service: &names[number % SERVICES],
             is_failing: false,
             lost_store: false,
-            is_listed: true,
+            is_registered: true,
         })
         .collect();
     let idle = plan_of(&hosts, 0);
     assert!(idle.links.len() <= 2, "{:?}", idle.links);
-    assert_eq!(idle.left_out.len(), SERVICES);
+    assert_eq!(idle.unlinked_services.len(), SERVICES);
     let plan = plan_calling(&hosts, 0, &["s7", "s9", "s200"]);
     let wanted = ["s7", "s9", "s200"];
     for host in &hosts {
@@ -114,7 +114,7 @@
         let is_linked = plan.links.contains(&host.id) && !plan.readers.contains(&host.id);
         assert_eq!(is_linked, is_wanted, "{} of {}", host.id, host.service);
     }
-    assert_eq!(plan.left_out.len(), SERVICES - wanted.len());
+    assert_eq!(plan.unlinked_services.len(), SERVICES - wanted.len());
 }
 
 /// More services are called than are linked to: the latest are kept.
@@ -129,14 +129,18 @@
             service: &names[number % names.len()],
             is_failing: false,
             lost_store: false,
-            is_listed: true,
+            is_registered: true,
         })
         .collect();
     let called: Vec<&str> = names[1..].iter().map(String::as_str).collect();
     let most = LinkLimits::default().services;
     let plan = plan_calling(&hosts, 0, &called);
     for (place, service) in called.iter().enumerate() {
-        assert_eq!(plan.left_out.contains(*service), place >= most, "{service}");
+        assert_eq!(
+            plan.unlinked_services.contains(*service),
+            place >= most,
+            "{service}"
+        );
     }
 }
 
@@ -356,7 +360,7 @@
     for host in &mut hosts {
         host.zone = "a";
     }
-    hosts[1].is_listed = false;
+    hosts[1].is_registered = false;
     let newcomer = plan_of(&hosts, 1);
     assert!(!newcomer.is_reader && !newcomer.is_source);
     assert!(newcomer.readers.contains("host-0"));
--- a/crates/policy/tests/quota_replay.rs
+++ b/crates/policy/tests/quota_replay.rs
@@ -6,9 +6,9 @@
 use filbert_policy::numbers::count_of;
 use filbert_policy::organisations::keys::RateLimit;
 use filbert_policy::organisations::quota::{
-    PoolLeases, PoolPart, QuotaTerms, TokenGrant, TokenPool, COUNTED_FOR,
+    PoolLeases, PoolTopology, QuotaPolicy, TokenGrant, TokenPool, POOL_LEASE_DURATION,
 };
-use filbert_policy::organisations::stash::{StashVerdict, TokenStash};
+use filbert_policy::organisations::stash::{TakeOutcome, TokenCache};
 use proptest::prelude::*;
 
 const ZONES: usize = 3;
@@ -19,7 +19,7 @@
 /// Time between two steps of a replay.
 const STEP: Duration = Duration::from_millis(20);
 const WINDOW: Duration = Duration::from_secs(5);
-const TERMS: QuotaTerms = QuotaTerms {
+const TERMS: QuotaPolicy = QuotaPolicy {
     window: Some(WINDOW),
     slack: SLACK,
 };
@@ -47,7 +47,7 @@
 #[derive(Default)]
 struct ReplayHost {
     pool: Option<TokenPool>,
-    stash: TokenStash,
+    stash: TokenCache,
 }
 
 struct Replay {
@@ -89,15 +89,15 @@
             return;
         }
         let taken = match self.hosts[host].stash.take(now) {
-            StashVerdict::Ask => {
+            TakeOutcome::RequestMore => {
                 self.ask(host, step, now);
                 self.hosts[host].stash.take(now)
             }
             verdict => verdict,
         };
         match taken {
-            StashVerdict::Taken => self.runs.push(now - self.start),
-            StashVerdict::Ask | StashVerdict::Dry(_) => self.refused += 1,
+            TakeOutcome::Taken => self.runs.push(now - self.start),
+            TakeOutcome::RequestMore | TakeOutcome::Exhausted(_) => self.refused += 1,
         }
     }
 
@@ -112,7 +112,7 @@
         };
         let mut dry = TokenGrant {
             tokens: 0,
-            dry_for: STEP,
+            next_token_in: STEP,
         };
         for reader in readers {
             let trouble = self.trouble(reader, step);
@@ -135,7 +135,7 @@
 
     fn grant(&mut self, reader: usize, step: u64, wanted: u32, now: Instant) -> TokenGrant {
         let is_alone = matches!(self.trouble(reader, step), Some(TroubleKind::Alone));
-        let part = PoolPart {
+        let part = PoolTopology {
             zones: ZONES,
             pools: READERS,
             hosts: HOSTS,
@@ -268,7 +268,7 @@
                 for pool in leases.renew(&wanted, 2, now) {
                     told[pool.parse::<usize>().expect("a number")] = Some(now);
                 }
-                let counting = told.iter().flatten().filter(|at| now < **at + COUNTED_FOR);
+                let counting = told.iter().flatten().filter(|at| now < **at + POOL_LEASE_DURATION);
                 prop_assert!(counting.count() <= 2);
             }
         }
--- a/crates/policy/tests/store_asking_cases.rs
+++ b/crates/policy/tests/store_asking_cases.rs
@@ -3,19 +3,19 @@
 use std::time::Duration;
 
 use filbert_policy::store_asking::{
-    first_look_after, first_version, pause_after, AskPurpose, FirstVersion, VersionlessView,
+    backoff_delay, bootstrap_step, initial_query_delay, BootstrapStep, BootstrapView, StoreAccess,
 };
 use rstest::rstest;
 
 /// Calls in vain of one daemon during an outage.
-fn calls_in(outage: Duration, purpose: AskPurpose) -> u32 {
+fn calls_in(outage: Duration, purpose: StoreAccess) -> u32 {
     /// Least spread: the most calls.
     const SPREAD: f64 = 0.0;
     let mut passed = Duration::ZERO;
     let mut failures = 0;
     while passed < outage {
         failures += 1;
-        passed += pause_after(failures, purpose, SPREAD);
+        passed += backoff_delay(failures, purpose, SPREAD);
     }
     failures
 }
@@ -24,43 +24,43 @@
 /// back soon; hundreds of daemons that ask for themselves alone must not call
 /// it twice a second each.
 #[rstest]
-#[case::for_others(AskPurpose::ForOthers, 34, Duration::from_millis(500))]
-#[case::alone(AskPurpose::Alone, 12, Duration::from_secs(2))]
+#[case::for_others(StoreAccess::ForFleet, 34, Duration::from_millis(500))]
+#[case::alone(StoreAccess::ForOwnHost, 12, Duration::from_secs(2))]
 fn an_outage_costs_each_daemon_few_calls(
-    #[case] purpose: AskPurpose,
+    #[case] purpose: StoreAccess,
     #[case] most: u32,
     #[case] longest: Duration,
 ) {
     let calls = calls_in(Duration::from_secs(9), purpose);
     assert!(calls <= most, "{calls}");
-    assert!(pause_after(1, purpose, 1.0) <= Duration::from_millis(100));
-    assert!(pause_after(u32::MAX, purpose, 1.0) <= longest);
+    assert!(backoff_delay(1, purpose, 1.0) <= Duration::from_millis(100));
+    assert!(backoff_delay(u32::MAX, purpose, 1.0) <= longest);
 }
 
 /// A fleet starts for the first time, all its hosts at once: their first looks
 /// at the table are spread. A single host that restarts looks at once.
 #[test]
 fn first_looks_are_spread_only_at_the_first_start_of_all() {
-    assert_eq!(first_look_after(false, 1.0), Duration::ZERO);
-    assert_eq!(first_look_after(true, 0.0), Duration::ZERO);
-    let half = first_look_after(true, 0.5);
-    assert!(half > Duration::from_millis(500) && half < first_look_after(true, 1.0));
+    assert_eq!(initial_query_delay(false, 1.0), Duration::ZERO);
+    assert_eq!(initial_query_delay(true, 0.0), Duration::ZERO);
+    let half = initial_query_delay(true, 0.5);
+    assert!(half > Duration::from_millis(500) && half < initial_query_delay(true, 1.0));
 }
 
 /// What a daemon without a version sees, and what it does.
 struct FirstCase {
     story: &'static str,
-    view: VersionlessView,
+    view: BootstrapView,
     asks_store: bool,
 }
 
-const ALONE: VersionlessView = VersionlessView {
+const ALONE: BootstrapView = BootstrapView {
     waited: Duration::ZERO,
     is_first_start: false,
     is_source: false,
-    told_by: 0,
-    without_version: 0,
-    near_with_version: 0,
+    linked_upstreams: 0,
+    upstreams_without_version: 0,
+    zone_peers_with_version: 0,
 };
 
 const FIRST_CASES: [FirstCase; 9] = [
@@ -71,7 +71,7 @@
     },
     FirstCase {
         story: "no link came up",
-        view: VersionlessView {
+        view: BootstrapView {
             waited: Duration::from_secs(1),
             ..ALONE
         },
@@ -79,45 +79,45 @@
     },
     FirstCase {
         story: "a neighbour has one and is giving it",
-        view: VersionlessView {
+        view: BootstrapView {
             waited: Duration::from_secs(1),
-            told_by: 2,
-            near_with_version: 1,
+            linked_upstreams: 2,
+            zone_peers_with_version: 1,
             ..ALONE
         },
         asks_store: false,
     },
     FirstCase {
         story: "a neighbour has one and does not give it",
-        view: VersionlessView {
+        view: BootstrapView {
             waited: Duration::from_secs(2),
-            told_by: 2,
-            near_with_version: 1,
+            linked_upstreams: 2,
+            zone_peers_with_version: 1,
             ..ALONE
         },
         asks_store: true,
     },
     FirstCase {
         story: "all lost power: nobody has one",
-        view: VersionlessView {
-            told_by: 2,
-            without_version: 2,
+        view: BootstrapView {
+            linked_upstreams: 2,
+            upstreams_without_version: 2,
             ..ALONE
         },
         asks_store: true,
     },
     FirstCase {
         story: "one of those that tell it has not spoken yet",
-        view: VersionlessView {
-            told_by: 2,
-            without_version: 1,
+        view: BootstrapView {
+            linked_upstreams: 2,
+            upstreams_without_version: 1,
             ..ALONE
         },
         asks_store: false,
     },
     FirstCase {
         story: "it asks for others",
-        view: VersionlessView {
+        view: BootstrapView {
             is_source: true,
             ..ALONE
         },
@@ -125,22 +125,22 @@
     },
     FirstCase {
         story: "the first start of all: the version goes from host to host",
-        view: VersionlessView {
+        view: BootstrapView {
             waited: Duration::from_secs(2),
             is_first_start: true,
-            told_by: 2,
-            without_version: 2,
+            linked_upstreams: 2,
+            upstreams_without_version: 2,
             ..ALONE
         },
         asks_store: false,
     },
     FirstCase {
         story: "the first start of all, and no version came",
-        view: VersionlessView {
+        view: BootstrapView {
             waited: Duration::from_secs(6),
             is_first_start: true,
-            told_by: 2,
-            without_version: 2,
+            linked_upstreams: 2,
+            upstreams_without_version: 2,
             ..ALONE
         },
         asks_store: true,
@@ -150,7 +150,7 @@
 #[test]
 fn a_first_version_comes_from_peers_that_have_one() {
     for case in FIRST_CASES {
-        let asks_store = first_version(&case.view) == FirstVersion::AskStore;
+        let asks_store = bootstrap_step(&case.view) == BootstrapStep::QueryStore;
         assert_eq!(asks_store, case.asks_store, "{}", case.story);
     }
 }
