--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -11,7 +11,7 @@
 use filbert_policy::identity::{CallIdentity, IdentityParts};
 use filbert_policy::organisations::keys::{KeyHash, KeyIndex, OrganisationRule, RateLimit};
 use filbert_policy::organisations::quota::{PoolTopology, QuotaPolicy, TokenPool};
-use filbert_policy::organisations::stash::TokenCache;
+use filbert_policy::organisations::token_cache::TokenCache;
 use filbert_policy::placement::{choose, CallShape, CrossingCost, TargetView};
 use filbert_policy::quarantine::{CallRecord, CrashMark, QuarantineBook};
 use filbert_policy::rollout::judge::{CallCounts, TargetCounts, VersionJudge, VersionSide};
@@ -269,11 +269,11 @@
         leased_by: 20,
     };
     let mut pool = TokenPool::new(QuotaPolicy::default());
-    let mut stash = TokenCache::default();
+    let mut token_cache = TokenCache::default();
     measure("a token from pool to call", |round| {
         let now = now + Duration::from_millis(u64::from(round));
-        stash.granted(pool.grant("one", limit, part.share(), 1, now), now);
-        black_box(stash.take(now));
+        token_cache.granted(pool.grant("one", limit, part.share(), 1, now), now);
+        black_box(token_cache.take(now));
     });
 }
 
--- a/crates/mesh/src/feeds.rs
+++ b/crates/mesh/src/feeds.rs
@@ -8,7 +8,7 @@
 
 use error_stack::Report;
 use filbert_platform::store::{FeedAnswer, StoreError, StoreMoment, OPERATOR_TABLE};
-use filbert_policy::store_asking::{
+use filbert_policy::store_access::{
     backoff_delay, bootstrap_step, initial_query_delay, BootstrapStep, BootstrapView,
 };
 use rand::Rng;
--- a/crates/mesh/src/organisations/mod.rs
+++ b/crates/mesh/src/organisations/mod.rs
@@ -16,7 +16,7 @@
 use filbert_policy::organisations::freshness::VersionFreshness;
 use filbert_policy::organisations::keys::OrganisationRule;
 use filbert_policy::organisations::quota::{PoolLeases, TokenGrant, TokenPool};
-use filbert_policy::organisations::stash::TokenCache;
+use filbert_policy::organisations::token_cache::TokenCache;
 use filbert_policy::routing::{RouteIndex, RouteRule};
 use tokio::sync::{oneshot, Notify};
 
@@ -46,7 +46,7 @@
     has_limits: Cell<bool>,
     /// Wakes whoever waits for that.
     limits_came: Notify,
-    stashes: RefCell<HashMap<String, TokenCacheEntry>>,
+    token_caches: RefCell<HashMap<String, TokenCacheEntry>>,
     /// Questions to other daemons' pools that wait for their answers.
     asked: RefCell<HashMap<u64, oneshot::Sender<TokenGrant>>>,
     next_ask: Cell<u64>,
@@ -57,7 +57,7 @@
 /// An organisation's tokens at this daemon.
 #[derive(Default)]
 struct TokenCacheEntry {
-    stash: TokenCache,
+    token_cache: TokenCache,
     /// Calls that wait for one.
     waiting: u32,
     /// Whether some are being asked for.
@@ -94,7 +94,7 @@
             zones: Cell::new(1),
             has_limits: Cell::new(false),
             limits_came: Notify::new(),
-            stashes: RefCell::default(),
+            token_caches: RefCell::default(),
             asked: RefCell::default(),
             next_ask: Cell::new(0),
             counts: OrganisationCounts::default(),
@@ -162,8 +162,8 @@
         let now = self.clock.now();
         self.pool.borrow_mut().keep(names.iter().copied(), now);
         self.counts.keep(|name| index.organisations().has(name));
-        let mut stashes = self.stashes.borrow_mut();
-        stashes.retain(|name, entry| entry.waiting > 0 || index.organisations().has(name));
+        let mut token_caches = self.token_caches.borrow_mut();
+        token_caches.retain(|name, entry| entry.waiting > 0 || index.organisations().has(name));
     }
 
     /// Takes note of how many hosts there are in the own availability zone, and in
--- a/crates/mesh/src/organisations/tokens.rs
+++ b/crates/mesh/src/organisations/tokens.rs
@@ -6,7 +6,7 @@
 
 use filbert_policy::organisations::keys::{OrganisationRule, RateLimit};
 use filbert_policy::organisations::quota::{PoolTopology, TokenGrant, POOL_LEASE_DURATION};
-use filbert_policy::organisations::stash::TakeOutcome;
+use filbert_policy::organisations::token_cache::TakeOutcome;
 use tokio::sync::oneshot;
 use twox_hash::XxHash64;
 
@@ -57,9 +57,9 @@
     /// Gives the right back: the call did not run.
     pub fn refund(self) {
         let now = self.desk.clock.now();
-        let mut stashes = self.desk.stashes.borrow_mut();
-        if let Some(entry) = stashes.get_mut(&self.organisation) {
-            entry.stash.refund(now);
+        let mut token_caches = self.desk.token_caches.borrow_mut();
+        if let Some(entry) = token_caches.get_mut(&self.organisation) {
+            entry.token_cache.refund(now);
         }
     }
 }
@@ -86,8 +86,8 @@
 
 impl Drop for WaitingCall {
     fn drop(&mut self) {
-        let mut stashes = self.desk.stashes.borrow_mut();
-        if let Some(entry) = stashes.get_mut(&self.organisation) {
+        let mut token_caches = self.desk.token_caches.borrow_mut();
+        if let Some(entry) = token_caches.get_mut(&self.organisation) {
             entry.waiting -= 1;
         }
     }
@@ -127,13 +127,13 @@
         loop {
             let now = self.clock.now();
             let (changed, waiting) = {
-                let mut stashes = self.organisations.stashes.borrow_mut();
-                let entry = stashes.entry(name.to_owned()).or_default();
-                match entry.stash.take(now) {
+                let mut token_caches = self.organisations.token_caches.borrow_mut();
+                let entry = token_caches.entry(name.to_owned()).or_default();
+                match entry.token_cache.take(now) {
                     TakeOutcome::Taken => {
-                        let asks = entry.stash.needs_refill(now) && !entry.is_asking;
+                        let asks = entry.token_cache.needs_refill(now) && !entry.is_asking;
                         entry.is_asking |= asks;
-                        drop(stashes);
+                        drop(token_caches);
                         if asks {
                             self.ask_in_background(organisation);
                         }
@@ -145,7 +145,7 @@
                 let waiting = WaitingCall::new(&self.organisations, name, entry);
                 let asks = !std::mem::replace(&mut entry.is_asking, true);
                 let changed = Rc::clone(&entry.changed);
-                drop(stashes);
+                drop(token_caches);
                 if asks {
                     self.ask_in_background(organisation);
                 }
@@ -174,10 +174,10 @@
             tokio::task::yield_now().await;
             let grant = shared.ask_pools(&name).await;
             let now = shared.clock.now();
-            let mut stashes = shared.organisations.stashes.borrow_mut();
-            if let Some(entry) = stashes.get_mut(&name) {
+            let mut token_caches = shared.organisations.token_caches.borrow_mut();
+            if let Some(entry) = token_caches.get_mut(&name) {
                 entry.is_asking = false;
-                entry.stash.granted(grant, now);
+                entry.token_cache.granted(grant, now);
                 entry.changed.notify_waiters();
             }
         });
@@ -312,10 +312,10 @@
 
 impl OrganisationDesk {
     fn wanted(&self, organisation: &str) -> u32 {
-        let stashes = self.stashes.borrow();
-        stashes
+        let token_caches = self.token_caches.borrow();
+        token_caches
             .get(organisation)
-            .map_or(1, |entry| entry.stash.wanted(entry.waiting))
+            .map_or(1, |entry| entry.token_cache.wanted(entry.waiting))
     }
 
     fn begin_ask(&self) -> (u64, oneshot::Receiver<TokenGrant>) {
--- a/crates/mesh/src/plan.rs
+++ b/crates/mesh/src/plan.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use filbert_policy::membership::{plan_links, HostView, LinkLimits, Reachability};
-use filbert_policy::store_asking::StoreAccess;
+use filbert_policy::store_access::StoreAccess;
 
 use crate::links;
 use crate::members::StoreRole;
--- a/crates/mesh/src/rollouts/record.rs
+++ b/crates/mesh/src/rollouts/record.rs
@@ -11,7 +11,7 @@
 use filbert_platform::rollouts::{self, RolloutState};
 use filbert_platform::store::{RowCondition, RowEdit, StoreRow, WriteEnd};
 use filbert_policy::rollout::note::{OrderId, RolloutNote, RolloutStage};
-use filbert_policy::store_asking::backoff_delay;
+use filbert_policy::store_access::backoff_delay;
 use rand::Rng;
 
 use super::row::{key_of, RolloutRow};
--- a/crates/mesh/src/rows.rs
+++ b/crates/mesh/src/rows.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use filbert_platform::store::{RowEdit, StoreRow, MOST_EDITS};
-use filbert_policy::store_asking::backoff_delay;
+use filbert_policy::store_access::backoff_delay;
 use rand::Rng;
 use tokio::sync::Notify;
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -9,7 +9,7 @@
 //! back by its [`identity`] ([`quarantine`]). [`instance`] follows the life of the target
 //! beside the daemon, [`health`] and [`run_times`] what its calls say about
 //! it, [`egress`] paces answers on a slow link. [`membership`] plans which other
-//! hosts a daemon links to, and [`store_asking`] who asks the store when.
+//! hosts a daemon links to, and [`store_access`] who asks the store when.
 //! [`organisations`] tells whose call it is, and whether it may run.
 //! [`rollout`] moves a service to another software version, or takes it back.
 
@@ -31,5 +31,5 @@
 pub mod rollout;
 pub mod routing;
 pub mod run_times;
-pub mod store_asking;
+pub mod store_access;
 pub mod weights;
--- a/crates/policy/src/organisations/mod.rs
+++ b/crates/policy/src/organisations/mod.rs
@@ -4,9 +4,9 @@
 //! refused everywhere within a bound, so a daemon has to know how old its
 //! knowledge is ([`freshness`]). What all daemons together may run for an
 //! organisation is bounded by tokens ([`quota`]), of which each daemon keeps a few
-//! ([`stash`]).
+//! ([`token_cache`]).
 
 pub mod freshness;
 pub mod keys;
 pub mod quota;
-pub mod stash;
+pub mod token_cache;
--- a/crates/policy/tests/quota_replay.rs
+++ b/crates/policy/tests/quota_replay.rs
@@ -8,7 +8,7 @@
 use filbert_policy::organisations::quota::{
     PoolLeases, PoolTopology, QuotaPolicy, TokenGrant, TokenPool, POOL_LEASE_DURATION,
 };
-use filbert_policy::organisations::stash::{TakeOutcome, TokenCache};
+use filbert_policy::organisations::token_cache::{TakeOutcome, TokenCache};
 use proptest::prelude::*;
 
 const ZONES: usize = 3;
@@ -47,7 +47,7 @@
 #[derive(Default)]
 struct ReplayHost {
     pool: Option<TokenPool>,
-    stash: TokenCache,
+    token_cache: TokenCache,
 }
 
 struct Replay {
@@ -88,10 +88,10 @@
             self.hosts[host] = ReplayHost::default();
             return;
         }
-        let taken = match self.hosts[host].stash.take(now) {
+        let taken = match self.hosts[host].token_cache.take(now) {
             TakeOutcome::RequestMore => {
                 self.ask(host, step, now);
-                self.hosts[host].stash.take(now)
+                self.hosts[host].token_cache.take(now)
             }
             verdict => verdict,
         };
@@ -104,7 +104,7 @@
     fn ask(&mut self, host: usize, step: u64, now: Instant) {
         let zone = host / HOSTS;
         let is_alone = matches!(self.trouble(host, step), Some(TroubleKind::Alone));
-        let wanted = self.hosts[host].stash.wanted(1);
+        let wanted = self.hosts[host].token_cache.wanted(1);
         let readers: Vec<usize> = if is_alone {
             vec![host]
         } else {
@@ -125,12 +125,12 @@
             }
             let grant = self.grant(reader, step, wanted, now);
             if grant.tokens > 0 {
-                self.hosts[host].stash.granted(grant, now);
+                self.hosts[host].token_cache.granted(grant, now);
                 return;
             }
             dry = grant;
         }
-        self.hosts[host].stash.granted(dry, now);
+        self.hosts[host].token_cache.granted(dry, now);
     }
 
     fn grant(&mut self, reader: usize, step: u64, wanted: u32, now: Instant) -> TokenGrant {
--- a/crates/policy/tests/store_asking_cases.rs
+++ b/crates/policy/tests/store_access_cases.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use filbert_policy::store_asking::{
+use filbert_policy::store_access::{
     backoff_delay, bootstrap_step, initial_query_delay, BootstrapStep, BootstrapView, StoreAccess,
 };
 use rstest::rstest;
