--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -1,111 +1,115 @@
-//! Which hosts a daemon links to, which daemons tell their availability zone
-//! what lies in the store, and which ask the store for the whole fleet.
+//! Plans which hosts a daemon links to, and elects the daemons that read the
+//! store: the sources, which query it for the whole fleet, and the readers,
+//! which relay its contents to the daemons of their availability zone.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use twox_hash::XxHash64;
 
-/// A host as a daemon sees it when it plans its links.
+/// A host as seen by the daemon that plans its links.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HostView<'a> {
-    /// Its name.
+    /// Name of the host.
     pub id: &'a str,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: &'a str,
-    /// The service of its target.
+    /// Service of the host's target.
     pub service: &'a str,
-    /// Whether its daemon answers.
+    /// Whether the host's daemon responds.
     pub reachability: Reachability,
-    /// Whether its daemon said that it has lost the store.
+    /// Whether the host's daemon has reported that it lost the store.
     pub lost_store: bool,
-    /// Whether its row is in the store. A host that just came and knows a few
-    /// others only would take itself for the first of them all.
+    /// Whether the host's row is in the store. Registered hosts are preferred
+    /// as readers and sources: a new host knows only a few others, and could
+    /// otherwise rank itself first among all hosts.
     pub is_registered: bool,
 }
 
-/// Whether a host's daemon answers, as far as one that links to it knows.
+/// Whether a host's daemon responds, as observed by a daemon linked to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Reachability {
-    /// It does, or was not asked yet.
+    /// The daemon responds, or has not been contacted yet.
     #[default]
     Reachable,
-    /// It does not just now, over a link that stands. Its target is still
-    /// linked to, but nobody waits to be told by it.
+    /// The link is up, but the daemon does not respond at present. The link to
+    /// its target is kept; the daemon does not count as a working upstream.
     Unresponsive,
-    /// Links to it have failed of late.
+    /// Recent attempts to link to the daemon have failed.
     Unreachable,
 }
 
-/// How many links a daemon keeps.
+/// Limits on the number of links that a daemon keeps, and on the number of
+/// readers and sources.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkLimits {
-    /// Targets of each service in the own zone. With ten to choose from the
-    /// least loaded is about as good as the best of all.
-    pub near: usize,
-    /// Targets of each service altogether; those in other zones take what
-    /// spills over, and all when the own zone has none.
+    /// Maximum number of live targets of each service linked to in the daemon's
+    /// own zone. The least loaded of ten targets is about as good a choice as
+    /// the best of all.
+    pub per_service_in_zone: usize,
+    /// Maximum number of live targets of each service linked to in all zones.
+    /// Targets in other zones take the overflow, or all calls when the own zone
+    /// has no target.
     pub per_service: usize,
-    /// Daemons of a zone that tell all others there what lies in the store.
-    /// Two, so that a change still comes at once when one of them dies.
+    /// Readers in each zone. With two of them, a change still arrives without
+    /// delay when one dies.
     pub readers: usize,
-    /// Daemons of the fleet that ask the store and tell the readers of all
-    /// zones. Two for the same reason: one that stands still is noticed after
-    /// a second and more, too late for a version that has two.
+    /// Sources in the fleet. Two are needed because a stalled daemon is detected
+    /// only after more than a second, which is too late for a version that has
+    /// to be in force within two seconds.
     pub sources: usize,
-    /// Those and the ones that step in for sources that lost the store, at
-    /// most. Where the store turns a third of the hosts away, all six are among
-    /// them once in a thousand times.
-    pub most_sources: usize,
-    /// Services whose targets are linked to; with more of them in the fleet
-    /// only those that were called of late. 270 services would be 4,320 links
-    /// a daemon; calls from one host go to some ten.
+    /// Maximum number of reachable sources, including those that have lost the
+    /// store and those that replace them. With six, a store that rejects a third
+    /// of the hosts rejects every source about once in a thousand cases.
+    pub max_sources: usize,
+    /// Maximum number of services linked to. In a fleet with more services, only
+    /// recently called ones are linked to: 270 services would need 4,320 links
+    /// per daemon, while the calls from one host go to about ten services.
     pub services: usize,
-    /// Those and the ones that step in for readers that lost the store, at
-    /// most.
-    pub most_readers: usize,
+    /// Maximum number of reachable readers in a zone, including those that have
+    /// lost the store and those that replace them.
+    pub max_readers: usize,
 }
 
-/// Services linked to unless settings say otherwise: up to here a fleet is so
-/// small that being ready for all of them costs less than a first call that
-/// waits for a link.
+/// Default of [`LinkLimits::services`]. In a fleet with no more services than
+/// this, links to all of them cost less than a first call that has to wait for
+/// a link.
 pub const DEFAULT_LINKED_SERVICES: usize = 24;
 
 impl Default for LinkLimits {
     fn default() -> Self {
         LinkLimits {
-            near: 10,
+            per_service_in_zone: 10,
             per_service: 16,
             readers: 2,
             sources: 2,
-            most_sources: 6,
+            max_sources: 6,
             services: DEFAULT_LINKED_SERVICES,
-            most_readers: 4,
+            max_readers: 4,
         }
     }
 }
 
-/// What a daemon links to and follows.
+/// The hosts that a daemon links to, and the daemons that keep it up to date.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LinkPlan {
     /// Hosts to link to.
     pub links: BTreeSet<String>,
-    /// Hosts of the own zone, this one left out, that tell it what lies in the
-    /// store.
+    /// Hosts of the readers in the daemon's own zone, except its own host.
     pub readers: BTreeSet<String>,
-    /// Whether this daemon is one of them.
+    /// Whether this daemon is a reader.
     pub is_reader: bool,
-    /// Hosts, this one left out, that ask the store for the fleet; known to
-    /// readers only.
+    /// Hosts of the fleet's sources, except the daemon's own host. Empty unless
+    /// this daemon is a reader.
     pub sources: BTreeSet<String>,
-    /// Whether this daemon is one of them.
+    /// Whether this daemon is a source.
     pub is_source: bool,
-    /// Services that are not linked to until a call wants one.
+    /// Services that are not linked to until they are called.
     pub unlinked_services: BTreeSet<String>,
 }
 
 impl LinkPlan {
-    /// The hosts that tell this daemon what lies in the store: a reader is told
-    /// by the sources, any other by the readers of its zone.
+    /// The hosts whose daemons send this daemon the contents of the store: the
+    /// sources if it is a reader, otherwise the readers of its zone.
     #[must_use]
     pub fn upstreams(&self) -> &BTreeSet<String> {
         if self.is_reader {
@@ -116,60 +120,64 @@
     }
 }
 
-/// Plans the links of the daemon on `own` among `others`, where `called` are
-/// the services called of late, the latest first.
+/// Plans the links of the daemon on `own` to the hosts in `others`.
+/// `recently_called` lists the services called recently, the latest first.
 ///
-/// Load pattern: a fleet that grows. With a link from each daemon to each
-/// other, links, pings and reports of load grow with the square of the fleet
-/// (82 hosts: a day that takes half a minute to play was not done after two);
-/// with a bounded choice each daemon has the same number at any size, about
-/// 30 for two services.
+/// The number of links per daemon is bounded, about 30 for two services at any
+/// fleet size. A full mesh makes links, pings and load reports grow with the
+/// square of the fleet: with 82 hosts, a simulated day that normally takes half
+/// a minute had not finished after two minutes.
 ///
-/// Each daemon ranks hosts by a hash of both names (rendezvous hashing), so
-/// choices are spread evenly, need no agreement, and change by one when one
-/// host comes or goes. Hosts that do not answer do not count, so that as many
-/// live ones are linked however many are gone for good; they stay in the plan
-/// to be tried again.
+/// Each daemon ranks hosts by a hash of both names (rendezvous hashing). This
+/// spreads the links evenly, needs no coordination, and changes one link when
+/// one host joins or leaves. Unreachable hosts do not count towards the limits,
+/// so the number of live links does not depend on how many hosts are gone for
+/// good; unreachable hosts stay in the plan so that they are retried.
 #[must_use]
 pub fn plan_links(
     own: &HostView<'_>,
     others: &[HostView<'_>],
-    called: &[&str],
+    recently_called: &[&str],
     limits: &LinkLimits,
 ) -> LinkPlan {
     let mut plan = LinkPlan::default();
-    choose_tellers(own, others, limits, &mut plan);
-    let linked_to = choose_services(others, called, limits, &mut plan);
+    choose_upstreams(own, others, limits, &mut plan);
+    let linked_services = choose_services(others, recently_called, limits, &mut plan);
     let mut services: BTreeMap<&str, Vec<(bool, u64, &HostView<'_>)>> = BTreeMap::new();
     for host in others
         .iter()
-        .filter(|host| linked_to.contains(host.service))
+        .filter(|host| linked_services.contains(host.service))
     {
-        let rank = XxHash64::oneshot(seed_of(own.id), host.id.as_bytes());
+        let rank = XxHash64::oneshot(hash_name(own.id), host.id.as_bytes());
         let entry = (host.zone != own.zone, rank, host);
         services.entry(host.service).or_default().push(entry);
     }
     for ranked in services.values_mut() {
-        ranked.sort_unstable_by_key(|(is_far, rank, host)| (*is_far, *rank, host.id));
-        let near = ranked.iter().take_while(|(is_far, ..)| !is_far).count();
-        let (near_hosts, far_hosts) = ranked.split_at(near);
-        let linked = take_live(near_hosts, limits.near, &mut plan.links);
-        let far = limits.per_service.saturating_sub(linked);
-        take_live(far_hosts, far, &mut plan.links);
+        ranked.sort_unstable_by_key(|(is_remote, rank, host)| (*is_remote, *rank, host.id));
+        let in_zone = ranked
+            .iter()
+            .take_while(|(is_remote, ..)| !is_remote)
+            .count();
+        let (zone_hosts, remote_hosts) = ranked.split_at(in_zone);
+        let linked = link_live_hosts(zone_hosts, limits.per_service_in_zone, &mut plan.links);
+        let remaining = limits.per_service.saturating_sub(linked);
+        link_live_hosts(remote_hosts, remaining, &mut plan.links);
     }
     plan
 }
 
-/// The services to link to: all while they are few, else those called of late.
+/// Chooses the services to link to: all of them up to `limits.services`,
+/// otherwise only the most recently called ones. Records the rest in
+/// `plan.unlinked_services`.
 fn choose_services<'a>(
     others: &[HostView<'a>],
-    called: &[&str],
+    recently_called: &[&str],
     limits: &LinkLimits,
     plan: &mut LinkPlan,
 ) -> BTreeSet<&'a str> {
     let mut services: BTreeSet<&str> = others.iter().map(|host| host.service).collect();
     if services.len() > limits.services {
-        let kept = &called[..called.len().min(limits.services)];
+        let kept = &recently_called[..recently_called.len().min(limits.services)];
         plan.unlinked_services = services
             .iter()
             .filter(|service| !kept.contains(service))
@@ -180,19 +188,19 @@
     services
 }
 
-/// Adds hosts in the order of their rank until `most` live ones are among
-/// them; the number of live ones.
-fn take_live(
+/// Adds hosts to `links` in rank order until `max_live` of them are live.
+/// Returns the number of live hosts added.
+fn link_live_hosts(
     ranked: &[(bool, u64, &HostView<'_>)],
-    most: usize,
+    max_live: usize,
     links: &mut BTreeSet<String>,
 ) -> usize {
-    /// Hosts tried for each live one wanted: bounds the dialing while a whole
-    /// zone is away.
-    const MOST_TRIED: usize = 3;
+    /// Maximum number of hosts tried per live host wanted. Bounds the connection
+    /// attempts while a whole zone is down.
+    const MAX_TRIED_PER_LIVE_HOST: usize = 3;
     let mut live = 0;
-    for (_, _, host) in ranked.iter().take(most * MOST_TRIED) {
-        if live == most {
+    for (_, _, host) in ranked.iter().take(max_live * MAX_TRIED_PER_LIVE_HOST) {
+        if live == max_live {
             break;
         }
         links.insert(host.id.to_owned());
@@ -201,17 +209,20 @@
     live
 }
 
-/// Chooses the readers of the zone and, for one of them, the sources.
+/// Chooses the readers of the daemon's zone and, if the daemon is one of them,
+/// the sources of the fleet.
 ///
-/// Load pattern: a fleet of many zones. Were each zone to ask the store by
-/// itself, its calls would grow with the zones times the versions; two daemons
-/// ask for all, and the readers of every zone are told by them.
+/// Two sources query the store for the whole fleet, and the readers of every
+/// zone get its contents from them. If each zone queried the store itself, the
+/// number of calls would grow with the number of zones times the number of
+/// versions.
 ///
-/// Both are the first by one hash of their names, so all daemons come to the
-/// same choice but for what each knows of failures; a difference costs the
-/// store a few calls more, and never leaves anybody without. Whoever follows
-/// follows daemons ahead of it in that order, so that nothing goes in circles.
-fn choose_tellers(
+/// Readers and sources are the first hosts in an order by a hash of the host's
+/// name. All daemons compute the same order, so their choices differ only by
+/// what each knows of failures. Such a difference costs the store a few more
+/// calls, but never leaves a daemon without an upstream. The upstreams of a
+/// daemon always precede it in the order, so updates cannot loop.
+fn choose_upstreams(
     own: &HostView<'_>,
     others: &[HostView<'_>],
     limits: &LinkLimits,
@@ -221,55 +232,59 @@
         .iter()
         .chain(std::iter::once(own))
         .map(|host| {
-            let rank = XxHash64::oneshot(TELLER_SEED, host.id.as_bytes());
+            let rank = XxHash64::oneshot(UPSTREAM_SEED, host.id.as_bytes());
             (!host.is_registered, rank, host)
         })
         .collect();
-    ranked.sort_unstable_by_key(|(is_unlisted, rank, host)| (*is_unlisted, *rank, host.id));
+    ranked.sort_unstable_by_key(|(is_unregistered, rank, host)| (*is_unregistered, *rank, host.id));
     let fleet = ranked.iter().map(|(.., host)| *host);
     let zone = fleet.clone().filter(|host| host.zone == own.zone);
-    let readers = take_tellers(zone, limits.readers, limits.most_readers);
-    (plan.is_reader, plan.readers) = split_own(readers, own);
+    let readers = select_upstreams(zone, limits.readers, limits.max_readers);
+    (plan.is_reader, plan.readers) = remove_own(readers, own);
     plan.links.extend(plan.readers.iter().cloned());
     if plan.is_reader {
-        let sources = take_tellers(fleet, limits.sources, limits.most_sources);
-        (plan.is_source, plan.sources) = split_own(sources, own);
+        let sources = select_upstreams(fleet, limits.sources, limits.max_sources);
+        (plan.is_source, plan.sources) = remove_own(sources, own);
         plan.links.extend(plan.sources.iter().cloned());
     }
 }
 
-/// The first hosts until `wanted` of them answer and have the store, or `most`
-/// of them answer. One whose row is not in the store yet is taken only where
-/// there is no other: the hosts of a fleet that starts each know one or two
-/// that came before them.
-fn take_tellers<'a>(
+/// Selects hosts in rank order until `wanted` of them are reachable and have the
+/// store, or `max_reachable` of them are reachable.
+///
+/// An unregistered host is selected only if no host before it is reachable and
+/// has the store: while a fleet starts, each host knows only one or two that
+/// started earlier.
+fn select_upstreams<'a>(
     ranked: impl Iterator<Item = &'a HostView<'a>>,
     wanted: usize,
-    most: usize,
+    max_reachable: usize,
 ) -> BTreeSet<String> {
-    let mut taken = BTreeSet::new();
+    let mut selected = BTreeSet::new();
     let mut live = 0;
-    let mut answering = 0;
+    let mut reachable = 0;
     for host in ranked {
-        if live == wanted || answering == most || (live > 0 && !host.is_registered) {
+        if live == wanted || reachable == max_reachable || (live > 0 && !host.is_registered) {
             break;
         }
-        taken.insert(host.id.to_owned());
-        let answers = host.reachability == Reachability::Reachable;
-        live += usize::from(answers && !host.lost_store);
-        answering += usize::from(answers);
+        selected.insert(host.id.to_owned());
+        let is_reachable = host.reachability == Reachability::Reachable;
+        live += usize::from(is_reachable && !host.lost_store);
+        reachable += usize::from(is_reachable);
     }
-    taken
+    selected
 }
 
-fn split_own(mut upstreams: BTreeSet<String>, own: &HostView<'_>) -> (bool, BTreeSet<String>) {
-    let is_own = upstreams.remove(own.id);
-    (is_own, upstreams)
+/// Removes the host `own` from `hosts`. Returns whether it was among them, and
+/// the other hosts.
+fn remove_own(mut hosts: BTreeSet<String>, own: &HostView<'_>) -> (bool, BTreeSet<String>) {
+    let has_own = hosts.remove(own.id);
+    (has_own, hosts)
 }
 
-/// Seed of the order in which daemons ask the store for others.
-const TELLER_SEED: u64 = 0;
+/// Hash seed of the order in which hosts become readers and sources.
+const UPSTREAM_SEED: u64 = 0;
 
-fn seed_of(name: &str) -> u64 {
+fn hash_name(name: &str) -> u64 {
     XxHash64::oneshot(0, name.as_bytes())
 }
--- a/crates/policy/tests/membership_cases.rs
+++ b/crates/policy/tests/membership_cases.rs
@@ -1,4 +1,4 @@
-//! Which hosts a daemon links to, and who follows the store for a zone.
+//! Link planning, and the choice of the readers and sources of the store.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -33,7 +33,8 @@
     }
 }
 
-/// `count` hosts over three zones, one in six beside a target of `art`.
+/// Returns `count` hosts in three zones. The target of every sixth host serves
+/// `art`, the others serve `quotes`.
 fn fleet(count: usize) -> Vec<TestHost> {
     (0..count)
         .map(|number| TestHost {
@@ -48,49 +49,58 @@
 }
 
 fn plan_of(hosts: &[TestHost], own: usize) -> LinkPlan {
-    plan_calling(hosts, own, &[])
+    plan_with_calls(hosts, own, &[])
 }
 
-fn plan_calling(hosts: &[TestHost], own: usize, called: &[&str]) -> LinkPlan {
+fn plan_with_calls(hosts: &[TestHost], own: usize, recently_called: &[&str]) -> LinkPlan {
     let others: Vec<HostView<'_>> = hosts
         .iter()
         .enumerate()
         .filter(|(index, _)| *index != own)
         .map(|(_, host)| host.view())
         .collect();
-    plan_links(&hosts[own].view(), &others, called, &LinkLimits::default())
+    plan_links(
+        &hosts[own].view(),
+        &others,
+        recently_called,
+        &LinkLimits::default(),
+    )
 }
 
 fn plans(hosts: &[TestHost]) -> Vec<LinkPlan> {
     (0..hosts.len()).map(|own| plan_of(hosts, own)).collect()
 }
 
-/// A fleet of the size aimed at starts. Were each daemon to link to each
-/// other, links, pings and reports would grow with the square of the fleet.
+/// Guards against links, pings and load reports that grow with the square of the
+/// fleet, as they do when every daemon links to every other. The largest case is
+/// the size that the system is designed for.
 #[rstest]
 #[case::small(12, 11, 11)]
-#[case::grown(82, 20, 34)]
+#[case::medium(82, 20, 34)]
 #[case::large(300, 20, 34)]
-#[case::aimed_at(2_300, 20, 34)]
-fn a_daemons_links_do_not_grow_with_the_fleet(
+#[case::design_size(2_300, 20, 34)]
+fn number_of_links_is_independent_of_fleet_size(
     #[case] count: usize,
-    #[case] least: usize,
-    #[case] most: usize,
+    #[case] min_links: usize,
+    #[case] max_links: usize,
 ) {
-    /// Hosts looked at: enough of the largest fleet.
-    const LOOKED_AT: usize = 100;
+    /// Number of hosts whose plans are checked, a sample of larger fleets.
+    const SAMPLED_HOSTS: usize = 100;
     let hosts = fleet(count);
-    for own in (0..count).step_by(count.div_ceil(LOOKED_AT)) {
+    for own in (0..count).step_by(count.div_ceil(SAMPLED_HOSTS)) {
         let plan = plan_of(&hosts, own);
-        assert!((least..=most).contains(&plan.links.len()), "{plan:?}");
+        assert!(
+            (min_links..=max_links).contains(&plan.links.len()),
+            "{plan:?}"
+        );
     }
 }
 
-/// A mesh of the size aimed at: 270 services on 2,300 hosts. A daemon must link
-/// to the few that its callers use, not to all; those left out are named, so
-/// that a call can ask for them.
+/// Guards against links to all services of a large mesh: 270 services on 2,300
+/// hosts. A daemon links only to the services that its callers use, and lists the
+/// others so that a call can request a link to them.
 #[test]
-fn a_daemon_among_many_services_links_to_those_it_calls() {
+fn only_called_services_are_linked_in_a_large_mesh() {
     const SERVICES: usize = 270;
     let names: Vec<String> = (0..SERVICES).map(|number| format!("s{number}")).collect();
     let names: &'static [String] = names.leak();
@@ -107,19 +117,20 @@
     let idle = plan_of(&hosts, 0);
     assert!(idle.links.len() <= 2, "{:?}", idle.links);
     assert_eq!(idle.unlinked_services.len(), SERVICES);
-    let plan = plan_calling(&hosts, 0, &["s7", "s9", "s200"]);
-    let wanted = ["s7", "s9", "s200"];
+    let plan = plan_with_calls(&hosts, 0, &["s7", "s9", "s200"]);
+    let called = ["s7", "s9", "s200"];
     for host in &hosts {
-        let is_wanted = wanted.contains(&host.service);
+        let is_called = called.contains(&host.service);
         let is_linked = plan.links.contains(&host.id) && !plan.readers.contains(&host.id);
-        assert_eq!(is_linked, is_wanted, "{} of {}", host.id, host.service);
+        assert_eq!(is_linked, is_called, "{} of {}", host.id, host.service);
     }
-    assert_eq!(plan.unlinked_services.len(), SERVICES - wanted.len());
+    assert_eq!(plan.unlinked_services.len(), SERVICES - called.len());
 }
 
-/// More services are called than are linked to: the latest are kept.
+/// When more services are called than may be linked, the most recently called
+/// ones are linked.
 #[test]
-fn the_services_called_last_are_linked_to() {
+fn most_recently_called_services_are_linked() {
     let names: Vec<String> = (0..60).map(|number| format!("s{number}")).collect();
     let names: &'static [String] = names.leak();
     let hosts: Vec<TestHost> = (0..120)
@@ -133,21 +144,22 @@
         })
         .collect();
     let called: Vec<&str> = names[1..].iter().map(String::as_str).collect();
-    let most = LinkLimits::default().services;
-    let plan = plan_calling(&hosts, 0, &called);
-    for (place, service) in called.iter().enumerate() {
+    let max_services = LinkLimits::default().services;
+    let plan = plan_with_calls(&hosts, 0, &called);
+    for (position, service) in called.iter().enumerate() {
         assert_eq!(
             plan.unlinked_services.contains(*service),
-            place >= most,
+            position >= max_services,
             "{service}"
         );
     }
 }
 
-/// Every target must be found by enough callers, none by so many that it is
-/// herded upon: the links that lead to a target stay near their mean.
+/// Guards against targets that few daemons link to, while others attract most of
+/// the callers. The test checks that each target has a minimum number of incoming
+/// links.
 #[test]
-fn links_spread_evenly_over_the_targets() {
+fn every_target_has_enough_incoming_links() {
     let hosts = fleet(300);
     let mut incoming: BTreeMap<String, usize> = BTreeMap::new();
     for plan in plans(&hosts) {
@@ -157,51 +169,52 @@
     }
     for host in &hosts {
         let links = incoming.get(&host.id).copied().unwrap_or(0);
-        let least = if host.service == "art" { 40 } else { 5 };
-        assert!(links >= least, "{} has {links}", host.id);
+        let min_links = if host.service == "art" { 40 } else { 5 };
+        assert!(links >= min_links, "{} has {links}", host.id);
     }
 }
 
 #[test]
-fn most_links_stay_in_the_zone_and_some_leave_it() {
+fn most_links_are_in_the_own_zone_and_some_in_others() {
     let hosts = fleet(300);
     let zone_of: BTreeMap<&str, &str> = hosts.iter().map(|host| (&*host.id, host.zone)).collect();
     for own in 0..hosts.len() {
         let plan = plan_of(&hosts, own);
-        let near = plan
+        let in_zone = plan
             .links
             .iter()
             .filter(|id| zone_of[&***id] == hosts[own].zone)
             .count();
-        assert!(near >= 20, "{near} near");
+        assert!(in_zone >= 20, "{in_zone} in the own zone");
         assert!(
-            plan.links.len() - near >= 8,
-            "{near} near of {}",
+            plan.links.len() - in_zone >= 8,
+            "{in_zone} in the own zone of {}",
             plan.links.len()
         );
     }
 }
 
-/// One host comes. Others must not drop the links they use: each changes one
-/// at most, for each service and as a reader.
+/// Guards against daemons that drop links in use when a host joins. Each daemon
+/// may replace one link per service and one to a reader.
 #[test]
-fn a_newcomer_moves_few_links_and_is_linked_to() {
+fn a_new_host_replaces_few_links_and_is_linked_to() {
     let hosts = fleet(83);
     let before = plans(&hosts[..82]);
     let after = plans(&hosts);
-    let mut found = 0;
+    let mut linked = 0;
     for (before, after) in before.iter().zip(&after) {
         let dropped = before.links.difference(&after.links).count();
         assert!(dropped <= 2, "{dropped} dropped");
-        found += usize::from(after.links.contains("host-82"));
+        linked += usize::from(after.links.contains("host-82"));
     }
-    assert!(found >= 5, "{found} link to the newcomer");
+    assert!(linked >= 5, "{linked} link to the new host");
 }
 
-/// A third of the hosts is gone for good and their rows are left. As many live
-/// targets must be linked as before, and the dead be tried again.
+/// Guards against dead hosts that use up the limit on links: a third of the hosts
+/// is gone for good, with their rows still in the store. As many live targets as
+/// before must be linked, and dead hosts must stay in the plan to be retried.
 #[test]
-fn dead_hosts_take_no_place_among_the_links() {
+fn dead_hosts_do_not_count_towards_the_link_limits() {
     let mut hosts = fleet(82);
     for number in (0..82).step_by(3) {
         hosts[number].is_failing = true;
@@ -221,31 +234,31 @@
     assert!(plan.links.iter().any(|id| dead.contains(&**id)));
 }
 
-/// One case of who follows the store.
+/// A fault of the readers, and the expected number of readers.
 struct ReaderCase {
-    story: &'static str,
-    /// Applied to the two daemons that follow it while all is well.
-    spoil: fn(&mut TestHost),
-    /// Daemons of the zone that follow it then.
+    name: &'static str,
+    /// Applied to the hosts of the two readers that are chosen without faults.
+    inject_fault: fn(&mut TestHost),
+    /// Expected number of readers in the zone under the fault.
     readers: usize,
 }
 
 #[test]
-fn two_daemons_of_each_zone_follow_the_store_and_others_step_in() {
+fn each_zone_has_two_readers_and_replaces_failed_ones() {
     let cases = [
         ReaderCase {
-            story: "all is well",
-            spoil: |_| {},
+            name: "no fault",
+            inject_fault: |_| {},
             readers: 2,
         },
         ReaderCase {
-            story: "both died",
-            spoil: |host| host.is_failing = true,
+            name: "both unreachable",
+            inject_fault: |host| host.is_failing = true,
             readers: 4,
         },
         ReaderCase {
-            story: "both were cut off from the store",
-            spoil: |host| host.lost_store = true,
+            name: "both lost the store",
+            inject_fault: |host| host.lost_store = true,
             readers: 4,
         },
     ];
@@ -254,9 +267,9 @@
         let first: Vec<usize> = (0..82)
             .filter(|own| hosts[*own].zone == "a" && plan_of(&hosts, *own).is_reader)
             .collect();
-        assert_eq!(first.len(), 2, "{}", case.story);
+        assert_eq!(first.len(), 2, "{}", case.name);
         for index in first {
-            (case.spoil)(&mut hosts[index]);
+            (case.inject_fault)(&mut hosts[index]);
         }
         let in_zone: Vec<usize> = (0..82).filter(|own| hosts[*own].zone == "a").collect();
         let readers: BTreeSet<&str> = in_zone
@@ -264,48 +277,48 @@
             .filter(|own| plan_of(&hosts, **own).is_reader)
             .map(|own| &*hosts[*own].id)
             .collect();
-        assert_eq!(readers.len(), case.readers, "{}", case.story);
+        assert_eq!(readers.len(), case.readers, "{}", case.name);
         for own in in_zone {
             let plan = plan_of(&hosts, own);
             let mut named: BTreeSet<&str> = plan.readers.iter().map(|id| &**id).collect();
             if plan.is_reader {
                 named.insert(&hosts[own].id);
             }
-            assert_eq!(named, readers, "{} on {}", case.story, hosts[own].id);
-            assert!(plan.readers.is_subset(&plan.links), "{}", case.story);
+            assert_eq!(named, readers, "{} on {}", case.name, hosts[own].id);
+            assert!(plan.readers.is_subset(&plan.links), "{}", case.name);
         }
     }
 }
 
-/// One case of who asks the store for the fleet.
+/// A fault of the sources, and the expected number of reachable sources.
 struct SourceCase {
-    story: &'static str,
-    /// Applied to the two daemons that ask it while all is well.
-    spoil: fn(&mut TestHost),
-    /// Daemons that ask it then, of those that answer.
-    live: usize,
+    name: &'static str,
+    /// Applied to the hosts of the two sources that are chosen without faults.
+    inject_fault: fn(&mut TestHost),
+    /// Expected number of reachable sources in the fleet under the fault.
+    reachable: usize,
 }
 
-/// A fleet of three zones, and the two daemons that ask the store for it die or
-/// lose the store. As many others must step in, whatever their zone; all must
-/// come to the same choice, and none may follow one behind it.
+/// Guards against a fleet of three zones without a working source when both
+/// sources die or lose the store. As many other daemons must replace them,
+/// whatever their zone, and all readers must choose the same sources.
 #[test]
-fn two_daemons_of_the_fleet_ask_the_store_and_others_step_in() {
+fn the_fleet_has_two_sources_and_replaces_failed_ones() {
     let cases = [
         SourceCase {
-            story: "all is well",
-            spoil: |_| {},
-            live: 2,
+            name: "no fault",
+            inject_fault: |_| {},
+            reachable: 2,
         },
         SourceCase {
-            story: "both died",
-            spoil: |host| host.is_failing = true,
-            live: 2,
+            name: "both unreachable",
+            inject_fault: |host| host.is_failing = true,
+            reachable: 2,
         },
         SourceCase {
-            story: "both were cut off from the store",
-            spoil: |host| host.lost_store = true,
-            live: 4,
+            name: "both lost the store",
+            inject_fault: |host| host.lost_store = true,
+            reachable: 4,
         },
     ];
     for case in cases {
@@ -316,54 +329,56 @@
                 .collect()
         };
         let first = sources_of(&hosts);
-        assert_eq!(first.len(), 2, "{}", case.story);
+        assert_eq!(first.len(), 2, "{}", case.name);
         for index in first {
-            (case.spoil)(&mut hosts[index]);
+            (case.inject_fault)(&mut hosts[index]);
         }
         let sources: BTreeSet<&str> = sources_of(&hosts)
             .into_iter()
             .map(|own| &*hosts[own].id)
             .collect();
-        let live = hosts
+        let reachable = hosts
             .iter()
             .filter(|host| sources.contains(&*host.id) && !host.is_failing)
             .count();
-        assert_eq!(live, case.live, "{}", case.story);
+        assert_eq!(reachable, case.reachable, "{}", case.name);
         for (own, host) in hosts.iter().enumerate() {
             let plan = plan_of(&hosts, own);
-            assert!(plan.sources.is_subset(&plan.links), "{}", case.story);
+            assert!(plan.sources.is_subset(&plan.links), "{}", case.name);
             assert!(plan.is_reader || plan.sources.is_empty());
             if plan.is_reader && !plan.is_source {
                 let named: BTreeSet<&str> = plan.sources.iter().map(|id| &**id).collect();
-                assert_eq!(named, sources, "{} on {}", case.story, host.id);
+                assert_eq!(named, sources, "{} on {}", case.name, host.id);
             }
         }
     }
 }
 
-/// The store is away for all. Only a few daemons of the fleet ask it in vain.
+/// Guards against a fleet in which every daemon becomes a source when the store is
+/// unavailable to all of them.
 #[test]
-fn a_lost_store_is_asked_by_a_few() {
+fn an_unavailable_store_is_queried_by_few_daemons() {
     let mut hosts = fleet(300);
     for host in &mut hosts {
         host.lost_store = true;
     }
     let sources = plans(&hosts).iter().filter(|plan| plan.is_source).count();
-    assert_eq!(sources, LinkLimits::default().most_sources);
+    assert_eq!(sources, LinkLimits::default().max_sources);
 }
 
-/// A host comes that knows one other and is not in the table yet. It must leave
-/// asking to that one, or each host of a fleet that starts would ask for all.
+/// Guards against a starting fleet in which each host makes itself a source. A new
+/// host that knows one other host and is not registered yet must leave the queries
+/// to that host, unless it is unreachable.
 #[test]
-fn a_host_without_a_row_leaves_asking_to_others() {
+fn an_unregistered_host_is_source_only_without_others() {
     let mut hosts = fleet(2);
     for host in &mut hosts {
         host.zone = "a";
     }
     hosts[1].is_registered = false;
-    let newcomer = plan_of(&hosts, 1);
-    assert!(!newcomer.is_reader && !newcomer.is_source);
-    assert!(newcomer.readers.contains("host-0"));
+    let new_host = plan_of(&hosts, 1);
+    assert!(!new_host.is_reader && !new_host.is_source);
+    assert!(new_host.readers.contains("host-0"));
     hosts[0].is_failing = true;
     let alone = plan_of(&hosts, 1);
     assert!(alone.is_reader && alone.is_source);
