--- a/crates/policy/src/store_access.rs
+++ b/crates/policy/src/store_access.rs
@@ -1,123 +1,129 @@
-//! Who asks the store, and when: a fleet's calls to it must not grow with its
-//! hosts.
+//! When a daemon calls the store, and when it waits for its peers instead, so
+//! that a fleet's calls to the store do not grow with the number of its hosts.
 
 use std::time::Duration;
 
-/// Pause after the first call in vain.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause of a daemon that asks for others: with a call that is given up
-/// after a second, the store's return shows within 1.5 s.
-const LONGEST_FOR_OTHERS: Duration = Duration::from_millis(500);
-/// Longest pause of a daemon that asks for itself alone. The first of many that
-/// finds the store back tells the others; one alone is back in time for the
-/// three seconds within which a fleet has to be in step again.
-const LONGEST_ALONE: Duration = Duration::from_secs(2);
-/// Time in which the daemons of a fleet that starts for the first time spread
-/// their first look at the hosts. Nobody calls yet. The table grows meanwhile,
-/// so that each finds more hosts than the one before: within 1.5 s, 290 of 295
-/// found the same four, which took seconds to answer them all.
-const FIRST_LOOK_OVER: Duration = Duration::from_secs(4);
-/// Time that a daemon without a version waits for word of a peer that has one:
-/// a list of hosts, a link and a first message, on a host with a tenth of a
-/// core.
-const PEERS_WITHIN: Duration = Duration::from_millis(400);
-/// The same while the fleet starts for the first time, where the first version
-/// goes from host to host.
-const PEERS_WITHIN_FIRST: Duration = Duration::from_secs(5);
-/// Time that peers which have a version get to hand it over, before the store
-/// is asked all the same: two peers, one after the other.
-const TEXT_WITHIN: Duration = Duration::from_millis(1_500);
+/// Delay after the first failed call.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+/// Maximum delay of a daemon that queries the store for the fleet. As a call
+/// times out after a second, the daemon notices within 1.5 s that the store is
+/// back.
+const MAX_BACKOFF_FOR_FLEET: Duration = Duration::from_millis(500);
+/// Maximum delay of a daemon that queries the store for its own host. The first
+/// of many such daemons that finds the store back informs the others. A single
+/// one still meets the three seconds within which a fleet has to be consistent
+/// again.
+const MAX_BACKOFF_FOR_OWN_HOST: Duration = Duration::from_secs(2);
+/// Time over which the daemons of a fleet that starts for the first time spread
+/// their initial query for the hosts. There are no calls to serve yet. The table
+/// of hosts grows meanwhile, so that later daemons find more hosts: with a
+/// spread of 1.5 s, 290 of 295 daemons found the same four hosts, which took
+/// seconds to answer them all.
+const INITIAL_QUERY_SPREAD: Duration = Duration::from_secs(4);
+/// How long a daemon without a version waits to hear of a peer that has one. It
+/// covers a list of hosts, a link and a first message, on a host with a tenth of
+/// a core.
+const PEER_VERSION_TIMEOUT: Duration = Duration::from_millis(400);
+/// Replaces [`PEER_VERSION_TIMEOUT`] while the fleet starts for the first time,
+/// when the first version spreads from host to host.
+const PEER_VERSION_TIMEOUT_FIRST_START: Duration = Duration::from_secs(5);
+/// How long peers that have a version may take to transfer it before the daemon
+/// queries the store. Enough for two peers in succession.
+const VERSION_TRANSFER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// For whom a daemon asks the store.
+/// For whom a daemon calls the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreAccess {
-    /// For all that follow it.
+    /// For all daemons that follow this one.
     ForFleet,
-    /// For itself: no daemon that asks is linked.
+    /// For its own host only.
     ForOwnHost,
 }
 
-/// The pause after `failures` calls in vain, one after the other; `spread` is a
-/// random number in 0..1.
+/// Returns the delay before the next call to the store after `failures`
+/// consecutive failed calls. `jitter` is a random number in 0..1.
 ///
-/// Load pattern: the store is away while 295 daemons start. By itself each
-/// called it twice a second for two things, 11,760 calls on a day with an
-/// outage; the pause doubles, to two seconds for a daemon that asks for itself
-/// alone. It is spread, so that a herd does not call in step.
+/// The delay doubles up to a maximum that depends on `access`; the jitter keeps
+/// daemons from retrying in step. When 295 daemons started while the store was
+/// down, each called it twice a second for each of two feeds, which made 11,760
+/// calls on a day with an outage.
 #[must_use]
-pub fn backoff_delay(failures: u32, purpose: StoreAccess, spread: f64) -> Duration {
-    /// Doublings after which every longest pause is reached.
-    const MOST_DOUBLINGS: u32 = 8;
-    let longest = match purpose {
-        StoreAccess::ForFleet => LONGEST_FOR_OTHERS,
-        StoreAccess::ForOwnHost => LONGEST_ALONE,
+pub fn backoff_delay(failures: u32, access: StoreAccess, jitter: f64) -> Duration {
+    /// Number of doublings after which every maximum delay is reached.
+    const MAX_DOUBLINGS: u32 = 8;
+    let max_delay = match access {
+        StoreAccess::ForFleet => MAX_BACKOFF_FOR_FLEET,
+        StoreAccess::ForOwnHost => MAX_BACKOFF_FOR_OWN_HOST,
     };
-    let doublings = failures.saturating_sub(1).min(MOST_DOUBLINGS);
-    let pause = (FIRST_PAUSE * 2_u32.pow(doublings)).min(longest);
-    pause.mul_f64(0.6 + 0.4 * spread.clamp(0.0, 1.0))
+    let doublings = failures.saturating_sub(1).min(MAX_DOUBLINGS);
+    let delay = (INITIAL_BACKOFF * 2_u32.pow(doublings)).min(max_delay);
+    delay.mul_f64(0.6 + 0.4 * jitter.clamp(0.0, 1.0))
 }
 
-/// How long a daemon that starts waits before it looks for the hosts.
+/// Returns how long a starting daemon waits before it queries the store for the
+/// hosts. `jitter` is a random number in 0..1.
 ///
-/// Load pattern: a whole fleet starts within 0.3 s on an empty table. Were all
-/// to look at once, each would find nobody and write its own row, 295 writes
-/// for a table that takes 150 a second; one after the other all but the first
-/// few of a zone find a daemon there that writes rows for them, many in one.
+/// The delay is zero unless the whole fleet starts for the first time: then all
+/// hosts start within 0.3 s on an empty table. If they all queried it at once,
+/// each would find no other host and write its own row, which makes 295 writes
+/// to a table that takes 150 a second. With the queries spread, all but the
+/// first few hosts of a zone find a daemon that registers them, many in one
+/// write.
 #[must_use]
-pub fn initial_query_delay(is_first_start: bool, spread: f64) -> Duration {
+pub fn initial_query_delay(is_first_start: bool, jitter: f64) -> Duration {
     if is_first_start {
-        FIRST_LOOK_OVER.mul_f64(spread.clamp(0.0, 1.0))
+        INITIAL_QUERY_SPREAD.mul_f64(jitter.clamp(0.0, 1.0))
     } else {
         Duration::ZERO
     }
 }
 
-/// What a daemon without a version sees.
+/// The state of a daemon that has no version yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BootstrapView {
-    /// Time since it knows its peers.
+    /// Time since the daemon learned of its peers.
     pub waited: Duration,
     /// Whether the whole fleet starts for the first time.
     pub is_first_start: bool,
-    /// Whether it asks the store for others.
+    /// Whether the daemon queries the store for the fleet.
     pub is_source: bool,
-    /// Daemons linked that it is told by.
+    /// Number of upstream daemons that are linked.
     pub linked_upstreams: usize,
-    /// Those of them that said that they have no version either.
+    /// Number of linked upstreams that reported having no version either.
     pub upstreams_without_version: usize,
-    /// Linked peers of its zone that have a version.
+    /// Number of linked peers in the daemon's zone that have a version.
     pub zone_peers_with_version: usize,
 }
 
-/// How a daemon gets its first version.
+/// What a daemon without a version does to get one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BootstrapStep {
-    /// From the store, now.
+    /// Query the store now.
     QueryStore,
-    /// From a peer that may still speak up; the store is asked after this time.
+    /// Wait for a version from a peer, for at most this long before the store is
+    /// queried.
     WaitForPeers(Duration),
 }
 
-/// Decides where a daemon without a version gets one.
+/// Decides where a daemon without a version gets its first one.
 ///
-/// Load pattern: single hosts start all day, and all at once after a loss of
-/// power. A single one gets the text from a neighbour that has it, 10 ms of its
-/// link, and costs the store nothing. When nobody has one, as after a loss of
-/// power, the store is the quickest for all.
+/// A single host that starts gets the version from a peer in its zone, which
+/// takes 10 ms of the link and costs the store nothing. If no peer has a version,
+/// as when all hosts lost power, the store is the fastest way for all of them.
 #[must_use]
 pub fn bootstrap_step(view: &BootstrapView) -> BootstrapStep {
-    let nobody_has_one =
+    let no_upstream_has_version =
         view.linked_upstreams > 0 && view.upstreams_without_version >= view.linked_upstreams;
-    let patience = if view.zone_peers_with_version > 0 {
-        TEXT_WITHIN
-    } else if view.is_source || (nobody_has_one && !view.is_first_start) {
+    let timeout = if view.zone_peers_with_version > 0 {
+        VERSION_TRANSFER_TIMEOUT
+    } else if view.is_source || (no_upstream_has_version && !view.is_first_start) {
         Duration::ZERO
     } else if view.is_first_start {
-        PEERS_WITHIN_FIRST
+        PEER_VERSION_TIMEOUT_FIRST_START
     } else {
-        PEERS_WITHIN
+        PEER_VERSION_TIMEOUT
     };
-    match patience.checked_sub(view.waited) {
+    match timeout.checked_sub(view.waited) {
         Some(left) if !left.is_zero() => BootstrapStep::WaitForPeers(left),
         _ => BootstrapStep::QueryStore,
     }
--- a/crates/policy/tests/store_access_cases.rs
+++ b/crates/policy/tests/store_access_cases.rs
@@ -1,4 +1,4 @@
-//! Who asks the store, and when.
+//! Retry delays of calls to the store, and the source of a daemon's first version.
 
 use std::time::Duration;
 
@@ -7,54 +7,55 @@
 };
 use rstest::rstest;
 
-/// Calls in vain of one daemon during an outage.
-fn calls_in(outage: Duration, purpose: StoreAccess) -> u32 {
-    /// Least spread: the most calls.
-    const SPREAD: f64 = 0.0;
-    let mut passed = Duration::ZERO;
+/// Returns the number of failed calls of one daemon during an outage.
+fn failed_calls_during(outage: Duration, access: StoreAccess) -> u32 {
+    /// The least jitter gives the shortest delays and thus the most calls.
+    const JITTER: f64 = 0.0;
+    let mut elapsed = Duration::ZERO;
     let mut failures = 0;
-    while passed < outage {
+    while elapsed < outage {
         failures += 1;
-        passed += backoff_delay(failures, purpose, SPREAD);
+        elapsed += backoff_delay(failures, access, JITTER);
     }
     failures
 }
 
-/// The store is away for nine seconds. Whoever asks for others must find it
-/// back soon; hundreds of daemons that ask for themselves alone must not call
-/// it twice a second each.
+/// Guards against hundreds of daemons that each call an unavailable store twice a
+/// second for their own host, during an outage of nine seconds. A daemon that
+/// queries the store for the fleet must retry more often, to notice its return
+/// soon.
 #[rstest]
-#[case::for_others(StoreAccess::ForFleet, 34, Duration::from_millis(500))]
-#[case::alone(StoreAccess::ForOwnHost, 12, Duration::from_secs(2))]
-fn an_outage_costs_each_daemon_few_calls(
-    #[case] purpose: StoreAccess,
-    #[case] most: u32,
-    #[case] longest: Duration,
+#[case::for_fleet(StoreAccess::ForFleet, 34, Duration::from_millis(500))]
+#[case::for_own_host(StoreAccess::ForOwnHost, 12, Duration::from_secs(2))]
+fn each_daemon_makes_few_calls_during_an_outage(
+    #[case] access: StoreAccess,
+    #[case] max_calls: u32,
+    #[case] max_delay: Duration,
 ) {
-    let calls = calls_in(Duration::from_secs(9), purpose);
-    assert!(calls <= most, "{calls}");
-    assert!(backoff_delay(1, purpose, 1.0) <= Duration::from_millis(100));
-    assert!(backoff_delay(u32::MAX, purpose, 1.0) <= longest);
+    let calls = failed_calls_during(Duration::from_secs(9), access);
+    assert!(calls <= max_calls, "{calls}");
+    assert!(backoff_delay(1, access, 1.0) <= Duration::from_millis(100));
+    assert!(backoff_delay(u32::MAX, access, 1.0) <= max_delay);
 }
 
-/// A fleet starts for the first time, all its hosts at once: their first looks
-/// at the table are spread. A single host that restarts looks at once.
+/// When all hosts of a fleet start for the first time at once, their initial
+/// queries for the hosts are spread. A single host that restarts queries at once.
 #[test]
-fn first_looks_are_spread_only_at_the_first_start_of_all() {
+fn initial_queries_are_spread_only_at_the_first_start_of_the_fleet() {
     assert_eq!(initial_query_delay(false, 1.0), Duration::ZERO);
     assert_eq!(initial_query_delay(true, 0.0), Duration::ZERO);
     let half = initial_query_delay(true, 0.5);
     assert!(half > Duration::from_millis(500) && half < initial_query_delay(true, 1.0));
 }
 
-/// What a daemon without a version sees, and what it does.
-struct FirstCase {
-    story: &'static str,
+/// The state of a daemon without a version, and whether it queries the store.
+struct BootstrapCase {
+    name: &'static str,
     view: BootstrapView,
-    asks_store: bool,
+    queries_store: bool,
 }
 
-const ALONE: BootstrapView = BootstrapView {
+const NO_PEERS: BootstrapView = BootstrapView {
     waited: Duration::ZERO,
     is_first_start: false,
     is_source: false,
@@ -63,94 +64,94 @@
     zone_peers_with_version: 0,
 };
 
-const FIRST_CASES: [FirstCase; 9] = [
-    FirstCase {
-        story: "links are still being made",
-        view: ALONE,
-        asks_store: false,
+const BOOTSTRAP_CASES: [BootstrapCase; 9] = [
+    BootstrapCase {
+        name: "links are still being established",
+        view: NO_PEERS,
+        queries_store: false,
     },
-    FirstCase {
-        story: "no link came up",
+    BootstrapCase {
+        name: "no link was established",
         view: BootstrapView {
             waited: Duration::from_secs(1),
-            ..ALONE
+            ..NO_PEERS
         },
-        asks_store: true,
+        queries_store: true,
     },
-    FirstCase {
-        story: "a neighbour has one and is giving it",
+    BootstrapCase {
+        name: "a zone peer has a version and is transferring it",
         view: BootstrapView {
             waited: Duration::from_secs(1),
             linked_upstreams: 2,
             zone_peers_with_version: 1,
-            ..ALONE
+            ..NO_PEERS
         },
-        asks_store: false,
+        queries_store: false,
     },
-    FirstCase {
-        story: "a neighbour has one and does not give it",
+    BootstrapCase {
+        name: "a zone peer has a version but does not transfer it",
         view: BootstrapView {
             waited: Duration::from_secs(2),
             linked_upstreams: 2,
             zone_peers_with_version: 1,
-            ..ALONE
+            ..NO_PEERS
         },
-        asks_store: true,
+        queries_store: true,
     },
-    FirstCase {
-        story: "all lost power: nobody has one",
+    BootstrapCase {
+        name: "all hosts lost power: no upstream has a version",
         view: BootstrapView {
             linked_upstreams: 2,
             upstreams_without_version: 2,
-            ..ALONE
+            ..NO_PEERS
         },
-        asks_store: true,
+        queries_store: true,
     },
-    FirstCase {
-        story: "one of those that tell it has not spoken yet",
+    BootstrapCase {
+        name: "one upstream has not reported yet",
         view: BootstrapView {
             linked_upstreams: 2,
             upstreams_without_version: 1,
-            ..ALONE
+            ..NO_PEERS
         },
-        asks_store: false,
+        queries_store: false,
     },
-    FirstCase {
-        story: "it asks for others",
+    BootstrapCase {
+        name: "the daemon is a source",
         view: BootstrapView {
             is_source: true,
-            ..ALONE
+            ..NO_PEERS
         },
-        asks_store: true,
+        queries_store: true,
     },
-    FirstCase {
-        story: "the first start of all: the version goes from host to host",
+    BootstrapCase {
+        name: "first start of the fleet: the version spreads from host to host",
         view: BootstrapView {
             waited: Duration::from_secs(2),
             is_first_start: true,
             linked_upstreams: 2,
             upstreams_without_version: 2,
-            ..ALONE
+            ..NO_PEERS
         },
-        asks_store: false,
+        queries_store: false,
     },
-    FirstCase {
-        story: "the first start of all, and no version came",
+    BootstrapCase {
+        name: "first start of the fleet: no version arrived in time",
         view: BootstrapView {
             waited: Duration::from_secs(6),
             is_first_start: true,
             linked_upstreams: 2,
             upstreams_without_version: 2,
-            ..ALONE
+            ..NO_PEERS
         },
-        asks_store: true,
+        queries_store: true,
     },
 ];
 
 #[test]
-fn a_first_version_comes_from_peers_that_have_one() {
-    for case in FIRST_CASES {
-        let asks_store = bootstrap_step(&case.view) == BootstrapStep::QueryStore;
-        assert_eq!(asks_store, case.asks_store, "{}", case.story);
+fn the_first_version_comes_from_peers_that_have_one() {
+    for case in BOOTSTRAP_CASES {
+        let queries_store = bootstrap_step(&case.view) == BootstrapStep::QueryStore;
+        assert_eq!(queries_store, case.queries_store, "{}", case.name);
     }
 }
