--- a/crates/policy/src/organisations/freshness.rs
+++ b/crates/policy/src/organisations/freshness.rs
@@ -1,115 +1,121 @@
-//! How old a daemon's knowledge of the configuration is.
+//! Tracks how old a daemon's version of the configuration is.
 //!
-//! A key counts as withdrawn everywhere a bounded time after its withdrawal was
-//! accepted, also on hosts that are cut off. So a daemon goes by keys only while
-//! what it knows was read from the store less than that time ago.
+//! A withdrawn key must be rejected everywhere within a bounded time after its
+//! withdrawal was accepted, also on hosts that are cut off. A daemon therefore
+//! accepts keys only while its version was confirmed by the store less than that
+//! time ago.
 //!
-//! Few daemons read the store; the others are told. What they are told is a time
-//! on the store's clock, which delays on the way cannot make younger, and each
-//! relates that clock to its own by a question and its answer.
+//! Only a few daemons query the store; the others receive confirmations from
+//! them. A confirmation carries a time on the store's clock, so delays on the way
+//! cannot make it look younger. Each daemon relates the store's clock to its own
+//! by a request for the time and the response to it.
 
 use std::time::Duration;
 
-/// Part of the time since a reading by which two clocks may have drifted apart.
-const DRIFT: f64 = 0.000_2;
+/// Maximum drift between two clocks, as a fraction of the time elapsed.
+const MAX_DRIFT_RATE: f64 = 0.000_2;
 
-/// Time after which a reading has drifted enough for another.
-const READ_AGAIN_AFTER: Duration = Duration::from_mins(5);
+/// Age of a clock sample after which drift warrants a new one.
+const RESAMPLE_AFTER: Duration = Duration::from_mins(5);
 
-/// Relates another clock to one's own by readings of it.
+/// Relates a remote clock to the local one by samples of the remote clock.
 ///
-/// All times are counted from any fixed moment; one's own must go on while the
-/// host is suspended.
+/// Each clock may count from any fixed moment. The local clock must keep running
+/// while the host is suspended.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ClockBound {
-    reading: Option<ClockPair>,
+pub struct RemoteClock {
+    sample: Option<ClockSample>,
 }
 
-/// Their clock showed `theirs` at the time `ours` or later.
+/// A bound on the difference of the clocks: the remote clock showed `remote` when
+/// the local clock showed `local` or later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct ClockPair {
-    theirs: Duration,
-    ours: Duration,
+struct ClockSample {
+    remote: Duration,
+    local: Duration,
 }
 
-impl ClockPair {
-    /// Whether this bounds the difference of the clocks at least as closely as
-    /// `other`, which has drifted until `now`.
-    fn is_closer_than(self, other: ClockPair, now: Duration) -> bool {
-        let drifted = now.saturating_sub(other.ours).mul_f64(DRIFT);
-        self.ours + other.theirs + drifted >= other.ours + self.theirs
+impl ClockSample {
+    /// Whether this sample bounds the difference of the clocks at least as tightly
+    /// as `other`, given the drift since `other` until `now`.
+    fn is_tighter_than(self, other: ClockSample, now: Duration) -> bool {
+        let drift = now.saturating_sub(other.local).mul_f64(MAX_DRIFT_RATE);
+        self.local + other.remote + drift >= other.local + self.remote
     }
 }
 
-impl ClockBound {
-    /// Takes a reading: theirs was asked for at `ours` and showed at most `theirs`
-    /// then.
-    pub fn note(&mut self, theirs: Duration, ours: Duration) {
-        let reading = ClockPair { theirs, ours };
+impl RemoteClock {
+    /// Records a sample: the remote clock was requested at `local`, and showed at
+    /// most `remote` at that time. Keeps only the sample with the tightest bound.
+    pub fn record(&mut self, remote: Duration, local: Duration) {
+        let sample = ClockSample { remote, local };
         let is_better = self
-            .reading
-            .is_none_or(|known| reading.is_closer_than(known, ours));
+            .sample
+            .is_none_or(|known| sample.is_tighter_than(known, local));
         if is_better {
-            self.reading = Some(reading);
+            self.sample = Some(sample);
         }
     }
 
-    /// The earliest time on the own clock at which theirs showed `theirs`; `None`
-    /// before the first reading.
+    /// Returns the earliest local time at which the remote clock showed `remote`;
+    /// `None` before the first sample.
     #[must_use]
-    pub fn earliest(&self, theirs: Duration) -> Option<Duration> {
-        let known = self.reading?;
-        let passed = theirs.saturating_sub(known.theirs);
-        let drifted = passed.mul_f64(DRIFT);
-        Some((known.ours + theirs).saturating_sub(known.theirs + drifted))
+    pub fn earliest_local(&self, remote: Duration) -> Option<Duration> {
+        let known = self.sample?;
+        let elapsed = remote.saturating_sub(known.remote);
+        let drift = elapsed.mul_f64(MAX_DRIFT_RATE);
+        Some((known.local + remote).saturating_sub(known.remote + drift))
     }
 
-    /// What their clock shows at most when the own one shows `ours`; `None` before
-    /// the first reading.
+    /// Returns the latest time that the remote clock may show when the local one
+    /// shows `local`; `None` before the first sample.
     #[must_use]
-    pub fn latest(&self, ours: Duration) -> Option<Duration> {
-        let known = self.reading?;
-        let passed = ours.saturating_sub(known.ours);
-        Some(known.theirs + passed + passed.mul_f64(DRIFT))
+    pub fn latest_remote(&self, local: Duration) -> Option<Duration> {
+        let known = self.sample?;
+        let elapsed = local.saturating_sub(known.local);
+        Some(known.remote + elapsed + elapsed.mul_f64(MAX_DRIFT_RATE))
     }
 }
 
-/// Word that a version was the store's newest at a time on its clock.
+/// States that a version was the newest in the store at a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Confirmation {
-    /// How often the store had come back from an older copy.
+    /// The store's era: how many times it has been restored from an older copy.
     pub era: u64,
-    /// The version.
+    /// Number of the version.
     pub version: u64,
-    /// The time, on the store's clock.
+    /// Time of the confirmation on the store's clock.
     pub at: Duration,
 }
 
-/// What a daemon knows of the age of its version.
+/// Tracks how recently a daemon's version in force was the newest in the store.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct VersionFreshness {
-    /// The store's era that `clock` and `pending` belong to.
+    /// The store's era to which `clock` and `newest_confirmation` belong.
     era: u64,
-    clock: ClockBound,
-    /// The newest confirmation, of the version in force or a later one.
+    clock: RemoteClock,
+    /// The latest confirmation received, of any version.
     newest_confirmation: Option<Confirmation>,
-    /// When the version in force was the store's newest, on the own clock.
-    confirmed: Option<Duration>,
+    /// Local time at which the version in force was last known to be the newest
+    /// in the store.
+    confirmed_at: Option<Duration>,
 }
 
 impl VersionFreshness {
-    /// Takes a reading of the store's clock in `era`: it was asked for at `ours`
-    /// and showed at most `theirs` then.
-    pub fn record_clock_sample(&mut self, era: u64, theirs: Duration, ours: Duration) {
-        self.enter(era);
+    /// Records a sample of the store's clock in `era`: the clock was requested at
+    /// local time `local`, and showed at most `remote` at that time. Ignores
+    /// samples of earlier eras.
+    pub fn record_clock_sample(&mut self, era: u64, remote: Duration, local: Duration) {
+        self.enter_era(era);
         if era == self.era {
-            self.clock.note(theirs, ours);
+            self.clock.record(remote, local);
         }
     }
 
-    /// Takes a confirmation, while version `in_force` is.
+    /// Records a confirmation while version `in_force` is in force. Ignores
+    /// confirmations of earlier eras, and those no later than the latest one.
     pub fn confirm(&mut self, confirmation: Confirmation, in_force: u64) {
-        self.enter(confirmation.era);
+        self.enter_era(confirmation.era);
         if confirmation.era != self.era {
             return;
         }
@@ -122,53 +128,55 @@
         }
     }
 
-    /// Takes note that version `in_force` is.
+    /// Applies the latest confirmation if `in_force`, the version in force, is at
+    /// least the confirmed one.
     pub fn update_for_version(&mut self, in_force: u64) {
-        let Some(newest_confirmation) = self
+        let Some(confirmation) = self
             .newest_confirmation
-            .filter(|newest_confirmation| newest_confirmation.version <= in_force)
+            .filter(|confirmation| confirmation.version <= in_force)
         else {
             return;
         };
-        self.confirmed = self
-            .confirmed
-            .max(self.clock.earliest(newest_confirmation.at));
+        self.confirmed_at = self
+            .confirmed_at
+            .max(self.clock.earliest_local(confirmation.at));
     }
 
-    /// The newest confirmation of the version in force or an older one, to be
-    /// passed on.
+    /// Returns the latest confirmation received, for forwarding to other daemons.
+    /// It may confirm a version newer than the one in force.
     #[must_use]
     pub fn newest_confirmation(&self) -> Option<Confirmation> {
         self.newest_confirmation
     }
 
-    /// What the store's clock shows at most at `now`, and its era; `None` before
-    /// the first reading.
+    /// Returns the store's era and the latest time that its clock may show at local
+    /// time `now`; `None` before the first sample.
     #[must_use]
     pub fn store_clock(&self, now: Duration) -> Option<(u64, Duration)> {
-        Some((self.era, self.clock.latest(now)?))
+        Some((self.era, self.clock.latest_remote(now)?))
     }
 
-    /// Whether the store's clock is to be read (again) at `now`.
+    /// Whether the store's clock has to be sampled at `now`, as there is no sample
+    /// or the sample is too old.
     #[must_use]
     pub fn needs_clock_sample(&self, now: Duration) -> bool {
-        let reading = self.clock.reading;
-        reading.is_none_or(|reading| now.saturating_sub(reading.ours) > READ_AGAIN_AFTER)
+        let sample = self.clock.sample;
+        sample.is_none_or(|sample| now.saturating_sub(sample.local) > RESAMPLE_AFTER)
     }
 
-    /// How long ago the version in force was the store's newest, at most; `None`
-    /// when that is not known.
+    /// Returns an upper bound on the time since the version in force was the newest
+    /// in the store; `None` if that is not known.
     #[must_use]
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        Some(now.saturating_sub(self.confirmed?))
+        Some(now.saturating_sub(self.confirmed_at?))
     }
 
-    /// Forgets what belongs to an earlier era of the store: its clock may be
-    /// another one now.
-    fn enter(&mut self, era: u64) {
+    /// Discards the clock and the confirmation when `era` is a later one: the
+    /// restored store may have a different clock.
+    fn enter_era(&mut self, era: u64) {
         if era > self.era {
             self.era = era;
-            self.clock = ClockBound::default();
+            self.clock = RemoteClock::default();
             self.newest_confirmation = None;
         }
     }
--- a/crates/policy/src/organisations/keys.rs
+++ b/crates/policy/src/organisations/keys.rs
@@ -1,23 +1,24 @@
-//! Organisations and the keys that they hold.
+//! Organisations and their API keys.
 
 use std::collections::HashMap;
 use std::fmt;
 use std::sync::Arc;
 
-/// Bytes kept of a key's hash: enough that two keys never share one by chance.
-const BYTES: usize = 16;
+/// Number of bytes of a key's hash that are stored: enough to rule out accidental
+/// collisions.
+const KEY_HASH_BYTES: usize = 16;
 
-/// A key as it is kept and looked up: hashed, so that neither a dump of memory
-/// nor the time of a comparison tells of the key itself.
+/// Hash of an API key. Keys are stored and looked up by hash only, so that neither
+/// a memory dump nor the timing of a comparison reveals a key.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-pub struct KeyHash([u8; BYTES]);
+pub struct KeyHash([u8; KEY_HASH_BYTES]);
 
 impl KeyHash {
-    /// The hash of `key`.
+    /// Hashes `key`.
     #[must_use]
     pub fn of(key: &str) -> KeyHash {
-        let mut bytes = [0; BYTES];
-        bytes.copy_from_slice(&blake3::hash(key.as_bytes()).as_bytes()[..BYTES]);
+        let mut bytes = [0; KEY_HASH_BYTES];
+        bytes.copy_from_slice(&blake3::hash(key.as_bytes()).as_bytes()[..KEY_HASH_BYTES]);
         KeyHash(bytes)
     }
 }
@@ -28,29 +29,30 @@
     }
 }
 
-/// What an organisation may run, on all daemons together.
+/// Limit on the calls that an organisation may run on all daemons together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Calls a second.
+    /// Sustained rate, in calls per second.
     pub per_s: f64,
-    /// Calls at once beyond that.
+    /// Number of calls that may run at once in excess of the rate.
     pub burst: f64,
 }
 
-/// One organisation.
+/// Configuration of an organisation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OrganisationRule {
-    /// Its name.
+    /// Name of the organisation.
     pub name: String,
-    /// The keys that it holds.
+    /// Hashes of the organisation's API keys.
     pub keys: Vec<KeyHash>,
-    /// Rank of its calls, in place of their route's; 0 goes first.
+    /// Priority of the organisation's calls; replaces that of their route. 0 is
+    /// the highest.
     pub priority: Option<u8>,
-    /// What it may run; `None` when that is not limited.
+    /// Limit on the organisation's calls; `None` if they are not limited.
     pub limit: Option<RateLimit>,
 }
 
-/// Organisations by the keys that they hold.
+/// Index of organisations by name and by API key.
 #[derive(Clone, Debug, Default)]
 pub struct KeyIndex {
     organisations: HashMap<String, Arc<OrganisationRule>>,
@@ -58,7 +60,7 @@
 }
 
 impl KeyIndex {
-    /// Compiles `organisations`.
+    /// Builds the index of `organisations`.
     #[must_use]
     pub fn compile(organisations: Vec<Arc<OrganisationRule>>) -> KeyIndex {
         let mut index = KeyIndex::default();
@@ -73,40 +75,43 @@
         index
     }
 
-    /// Whether calls need no key, as there is nobody to hold one.
+    /// Whether there are no organisations. Calls need no key in that case.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.organisations.is_empty()
     }
 
-    /// The organisation that holds `key`.
+    /// Returns the organisation that holds `key`.
     #[must_use]
     pub fn holder(&self, key: &str) -> Option<&Arc<OrganisationRule>> {
         self.holders.get(&KeyHash::of(key))
     }
 
-    /// The organisation called `name`.
+    /// Returns the organisation with this `name`.
     #[must_use]
     pub fn organisation(&self, name: &str) -> Option<&Arc<OrganisationRule>> {
         self.organisations.get(name)
     }
 
-    /// Whether there is an organisation called `name`.
+    /// Whether there is an organisation with this `name`.
     #[must_use]
     pub fn has(&self, name: &str) -> bool {
         self.organisations.contains_key(name)
     }
 
-    /// The organisations whose calls are counted.
+    /// Returns the organisations that have a rate limit.
     pub fn limited(&self) -> impl Iterator<Item = &OrganisationRule> {
         let all = self.organisations.values();
         all.map(Arc::as_ref).filter(|rule| rule.limit.is_some())
     }
 
-    /// The least urgent rank of any organisation; `None` where none has one.
+    /// Returns the lowest priority, which is the highest number, of any
+    /// organisation; `None` if no organisation has a priority.
     #[must_use]
     pub fn lowest_priority(&self) -> Option<u8> {
-        let ranks = self.organisations.values();
-        ranks.filter_map(|organisation| organisation.priority).max()
+        let organisations = self.organisations.values();
+        organisations
+            .filter_map(|organisation| organisation.priority)
+            .max()
     }
 }
--- a/crates/policy/src/organisations/mod.rs
+++ b/crates/policy/src/organisations/mod.rs
@@ -1,10 +1,11 @@
-//! Whose call it is, and what each organisation may ask for.
+//! Identifies the organisation that a call belongs to, and limits the calls that
+//! each organisation may run.
 //!
-//! A call's key names its organisation ([`keys`]). A key that was withdrawn is
-//! refused everywhere within a bound, so a daemon has to know how old its
-//! knowledge is ([`freshness`]). What all daemons together may run for an
-//! organisation is bounded by tokens ([`quota`]), of which each daemon keeps a few
-//! ([`token_cache`]).
+//! The key of a call identifies its organisation ([`keys`]). A withdrawn key must
+//! be rejected on all hosts within a bounded time, so a daemon tracks how recent
+//! its version of the configuration is ([`freshness`]). The calls of an
+//! organisation on all daemons together are limited by tokens ([`quota`]), a few
+//! of which each daemon holds in advance ([`token_cache`]).
 
 pub mod freshness;
 pub mod keys;
--- a/crates/policy/src/organisations/quota.rs
+++ b/crates/policy/src/organisations/quota.rs
@@ -1,13 +1,14 @@
-//! Tokens: what all daemons together may run for an organisation.
+//! Token pools that limit the calls an organisation runs on all daemons together.
 //!
-//! Load pattern: an organisation sends several times its usual, on all hosts at
-//! once, while some of them are cut off or start anew.
+//! Each call of a limited organisation needs a token, and each token is spent
+//! once. Tokens are generated only in the pools of a few daemons of each
+//! availability zone, at fixed fractions of the organisation's rate.
 //!
-//! The right to run a call is a token. Tokens come into being only in the pools of
-//! a few daemons of each availability zone, at fixed parts of the organisation's
-//! rate, and each is spent once. So whatever happens between the daemons, what
-//! runs stays below what came into being: a pool that nobody reaches spends
-//! nothing, one that starts is empty, and a grant that is lost is not made again.
+//! The number of calls therefore stays below the number of tokens generated,
+//! whatever happens between the daemons: a pool that cannot be reached grants
+//! nothing, a restarted pool is empty, and a lost grant is not repeated. The limit
+//! holds when an organisation sends several times its usual number of calls on all
+//! hosts at once, while some hosts are cut off or restart.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -15,91 +16,101 @@
 use super::keys::RateLimit;
 use crate::numbers::{count_of, whole_of};
 
-/// Time in which a pool without tokens is asked again at the earliest.
-const LEAST_DRY: Duration = Duration::from_millis(20);
-/// The same at the latest.
-const MOST_DRY: Duration = Duration::from_secs(1);
+/// Minimum time before an empty pool is asked again.
+const MIN_TOKEN_WAIT: Duration = Duration::from_millis(20);
+/// Maximum time before an empty pool is asked again.
+const MAX_TOKEN_WAIT: Duration = Duration::from_secs(1);
 
-/// How often a host renews its lease at a pool.
-const RENEW_EVERY: Duration = Duration::from_millis(400);
-/// Time for which a pool counts a part after a renewal: two may be late.
+/// Interval at which a host renews its lease at a pool.
+const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
+/// Time after a renewal for which a pool counts the host's share. Two renewals may
+/// be late.
 pub const POOL_LEASE_DURATION: Duration = Duration::from_millis(1_200);
-/// Time after which a host takes a lease to have run out: that and the way there.
-const RUNS_OUT_AFTER: Duration = Duration::from_millis(1_600);
+/// Time after a renewal at which the host considers its lease expired. It covers
+/// [`POOL_LEASE_DURATION`] and the transmission of the renewal.
+const HOST_LEASE_DURATION: Duration = Duration::from_millis(1_600);
 
-/// Part of a burst that flows as rate where limits count in a window: in every
-/// window it may be used anew.
-const FLOWING_PART: f64 = 0.8;
+/// Fraction of a burst that is converted to rate when limits apply to a window,
+/// as the burst may be used again in every window.
+const BURST_RATE_FRACTION: f64 = 0.8;
 
-/// How limits are meant.
+/// How rate limits are interpreted.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QuotaPolicy {
-    /// Any window of this length may hold a limit's rate times the window and its
-    /// burst; `None` where a burst is used up once.
+    /// Length of the windows to which limits apply: the calls in any window may
+    /// reach the limit's rate times the window, plus its burst. `None` if a burst
+    /// is not available again in every window.
     pub window: Option<Duration>,
-    /// Calls beyond that, over all pools, that do no harm.
+    /// Number of calls over the limit, in all pools together, that is tolerated.
     pub slack: f64,
 }
 
 impl QuotaPolicy {
-    /// How tokens come into being under `limit`, over all pools.
-    fn flow(self, limit: RateLimit) -> RateLimit {
-        let flowing = self.window.map_or(0.0, |_| limit.burst * FLOWING_PART);
+    /// Returns the rate at which tokens are generated under `limit` and the number
+    /// that may accumulate, in all pools together.
+    fn refill_limit(self, limit: RateLimit) -> RateLimit {
+        let as_rate = self
+            .window
+            .map_or(0.0, |_| limit.burst * BURST_RATE_FRACTION);
         let window = self.window.unwrap_or(Duration::from_secs(1));
         RateLimit {
-            per_s: limit.per_s + flowing / window.as_secs_f64(),
-            burst: limit.burst - flowing + self.slack,
+            per_s: limit.per_s + as_rate / window.as_secs_f64(),
+            burst: limit.burst - as_rate + self.slack,
         }
     }
 }
 
-/// How many pools an organisation's tokens come from.
+/// The numbers of zones, pools and hosts among which an organisation's tokens are
+/// divided, as seen by one pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolTopology {
-    /// Availability zones of the fleet.
+    /// Number of availability zones of the fleet.
     pub zones: usize,
-    /// Pools that each host asks.
+    /// Number of pools that each host draws on.
     pub pools: usize,
-    /// Hosts of the pool's zone, its own included.
+    /// Number of hosts in the pool's zone, including the pool's own host.
     pub hosts: usize,
-    /// Those of them that ask this pool.
+    /// Number of those hosts that hold a lease at this pool.
     pub leased_by: usize,
 }
 
 impl PoolTopology {
-    /// The part of an organisation's tokens that come into being in the pool.
+    /// Returns the fraction of an organisation's tokens that this pool generates.
     ///
-    /// Guards against a zone that falls apart, each part taking itself for the
-    /// whole: every host brings its own part to the pools that it asks.
+    /// The fraction grows with the number of hosts that hold a lease at the pool.
+    /// If a zone is partitioned and each partition takes itself for the whole zone,
+    /// the pools still generate no more than the zone's share, as each host
+    /// contributes its share only to the pools that it draws on.
     #[must_use]
     pub fn share(self) -> f64 {
         let leased_by = self.leased_by.min(self.hosts);
-        let heard = count_of(leased_by) / count_of(self.hosts.max(1));
-        heard / (count_of(self.zones.max(1)) * count_of(self.pools.max(1)))
+        let leased_fraction = count_of(leased_by) / count_of(self.hosts.max(1));
+        leased_fraction / (count_of(self.zones.max(1)) * count_of(self.pools.max(1)))
     }
 }
 
-/// The leases by which a host's part counts at pools, by the pools' hosts.
+/// The leases by which a host contributes its share of the tokens to pools.
 ///
-/// Guards against a part that counts twice: a pool goes on to count it for a while
-/// after the host has turned to another, as it cannot know. So a host that turns
-/// away from a pool waits until that lease has run out before it takes one at the
-/// next.
+/// A host that switches to another pool first waits until the lease at the old one
+/// has expired. Otherwise its share would count twice: the old pool cannot know of
+/// the switch and continues to count the share for a while.
 #[derive(Clone, Debug, Default)]
 pub struct PoolLeases {
-    /// When each was last renewed.
+    /// Time of the last renewal, by the pool's host.
     renewed: BTreeMap<String, Instant>,
 }
 
 impl PoolLeases {
-    /// Renews the leases at `wanted`, `most` at a time; the pools to be told now.
-    pub fn renew(&mut self, wanted: &[String], most: usize, now: Instant) -> Vec<String> {
-        self.renewed.retain(|_, at| now < *at + RUNS_OUT_AFTER);
+    /// Takes or renews leases at the pools in `wanted`, and holds no more than
+    /// `max_leases` at a time. Returns the pools that have to be notified now.
+    pub fn renew(&mut self, wanted: &[String], max_leases: usize, now: Instant) -> Vec<String> {
+        self.renewed
+            .retain(|_, renewed_at| now < *renewed_at + HOST_LEASE_DURATION);
         let mut due = Vec::new();
         for pool in wanted {
-            let renewed = self.renewed.get(pool).copied();
-            let has_room = renewed.is_some() || self.renewed.len() < most;
-            if has_room && renewed.is_none_or(|at| now >= at + RENEW_EVERY) {
+            let renewed_at = self.renewed.get(pool).copied();
+            let may_hold = renewed_at.is_some() || self.renewed.len() < max_leases;
+            if may_hold && renewed_at.is_none_or(|at| now >= at + LEASE_RENEWAL_INTERVAL) {
                 self.renewed.insert(pool.clone(), now);
                 due.push(pool.clone());
             }
@@ -107,60 +118,61 @@
         due
     }
 
-    /// Whether this host's part counts at `pool`.
+    /// Whether `pool` currently counts this host's share.
     #[must_use]
     pub fn is_counted_at(&self, pool: &str, now: Instant) -> bool {
-        let renewed = self.renewed.get(pool);
-        renewed.is_some_and(|at| now < *at + POOL_LEASE_DURATION)
+        let renewed_at = self.renewed.get(pool);
+        renewed_at.is_some_and(|at| now < *at + POOL_LEASE_DURATION)
     }
 }
 
-/// What a pool gives.
+/// A pool's response to a request for tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TokenGrant {
-    /// Calls that may run.
+    /// Number of tokens granted; each allows one call.
     pub tokens: u32,
-    /// Time until the next token when there is none.
+    /// Time until the pool expects its next token; zero if it has tokens left.
     pub next_token_in: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct TokenBucket {
     tokens: f64,
-    filled: Instant,
+    refilled_at: Instant,
 }
 
 impl TokenBucket {
     fn empty(now: Instant) -> TokenBucket {
         TokenBucket {
             tokens: 0.0,
-            filled: now,
+            refilled_at: now,
         }
     }
 }
 
-/// The tokens that a daemon gives to others and to itself.
+/// The token buckets of all organisations at one daemon, from which it grants
+/// tokens to other daemons and to itself.
 #[derive(Debug)]
 pub struct TokenPool {
     buckets: HashMap<String, TokenBucket>,
-    terms: QuotaPolicy,
+    policy: QuotaPolicy,
 }
 
 impl TokenPool {
-    /// An empty pool.
+    /// Creates an empty pool.
     ///
-    /// The slack in its terms is for organisations whose burst is less than a call
-    /// for each pool: they would never be granted any.
+    /// The slack of `policy` serves organisations whose burst is less than one call
+    /// per pool: without it, no pool would ever accumulate a whole token for them.
     #[must_use]
-    pub fn new(terms: QuotaPolicy) -> TokenPool {
+    pub fn new(policy: QuotaPolicy) -> TokenPool {
         TokenPool {
             buckets: HashMap::new(),
-            terms,
+            policy,
         }
     }
 
-    /// Grants up to `wanted` of the tokens that `share` of `limit` has brought
-    /// about for `organisation` by `now`.
+    /// Grants up to `wanted` tokens to `organisation`. Its bucket has been refilled
+    /// until `now` with the fraction `share` of `limit`.
     pub fn grant(
         &mut self,
         organisation: &str,
@@ -169,9 +181,9 @@
         wanted: u32,
         now: Instant,
     ) -> TokenGrant {
-        let flow = self.terms.flow(limit);
-        let per_s = flow.per_s * share;
-        let most = flow.burst * share;
+        let refill = self.policy.refill_limit(limit);
+        let per_s = refill.per_s * share;
+        let capacity = refill.burst * share;
         let bucket = match self.buckets.get_mut(organisation) {
             Some(bucket) => bucket,
             None => self
@@ -179,20 +191,21 @@
                 .entry(organisation.to_owned())
                 .or_insert(TokenBucket::empty(now)),
         };
-        let passed = now.saturating_duration_since(bucket.filled);
-        bucket.filled = now;
-        bucket.tokens = (bucket.tokens + passed.as_secs_f64() * per_s).min(most);
+        let elapsed = now.saturating_duration_since(bucket.refilled_at);
+        bucket.refilled_at = now;
+        bucket.tokens = (bucket.tokens + elapsed.as_secs_f64() * per_s).min(capacity);
         let tokens = u32::try_from(whole_of(bucket.tokens))
             .unwrap_or(u32::MAX)
             .min(wanted);
         bucket.tokens -= f64::from(tokens);
         TokenGrant {
             tokens,
-            next_token_in: next_token_in(1.0 - bucket.tokens, per_s),
+            next_token_in: refill_time(1.0 - bucket.tokens, per_s),
         }
     }
 
-    /// Begins to fill for `organisations`, and forgets all others.
+    /// Creates empty buckets for those of `organisations` that have none, and
+    /// removes the buckets of all other organisations.
     pub fn keep<'a>(&mut self, organisations: impl Iterator<Item = &'a str>, now: Instant) {
         let mut kept = HashMap::new();
         for organisation in organisations {
@@ -203,7 +216,8 @@
         self.buckets = kept;
     }
 
-    /// Empties all buckets: the daemon has only now become one that grants.
+    /// Empties all buckets. Called when the daemon starts to grant tokens, so that
+    /// none have accumulated before.
     pub fn clear_buckets(&mut self, now: Instant) {
         for bucket in self.buckets.values_mut() {
             *bucket = TokenBucket::empty(now);
@@ -211,11 +225,13 @@
     }
 }
 
-fn next_token_in(missing: f64, per_s: f64) -> Duration {
+/// Returns the time in which `missing` tokens are generated at the rate `per_s`,
+/// between [`MIN_TOKEN_WAIT`] and [`MAX_TOKEN_WAIT`]; zero if none are missing.
+fn refill_time(missing: f64, per_s: f64) -> Duration {
     if missing <= 0.0 {
         return Duration::ZERO;
     }
     Duration::try_from_secs_f64(missing / per_s)
-        .unwrap_or(MOST_DRY)
-        .clamp(LEAST_DRY, MOST_DRY)
+        .unwrap_or(MAX_TOKEN_WAIT)
+        .clamp(MIN_TOKEN_WAIT, MAX_TOKEN_WAIT)
 }
--- a/crates/policy/src/organisations/token_cache.rs
+++ b/crates/policy/src/organisations/token_cache.rs
@@ -1,104 +1,108 @@
-//! The few tokens that a daemon keeps for an organisation's next calls.
+//! Tokens that a daemon requests in advance for an organisation's next calls.
 
 use std::time::{Duration, Instant};
 
 use super::quota::TokenGrant;
 use crate::numbers::whole_of;
 
-/// Time after its last grant in which a token is to be spent.
-const KEPT_FOR: Duration = Duration::from_secs(1);
-/// Time for whose calls tokens are asked for ahead: what all daemons keep is
-/// spent beyond the rate when calls rise, so it is kept short.
-const AHEAD: Duration = Duration::from_millis(150);
-/// Time over which the use of late is counted.
-const USE_OVER: Duration = Duration::from_secs(2);
+/// Time after the last grant at which unused tokens expire.
+const TOKEN_TTL: Duration = Duration::from_secs(1);
+/// Time for whose expected calls tokens are requested in advance. The tokens
+/// cached by all daemons are spent in excess of the rate when the number of calls
+/// rises, so this is short.
+const PREFETCH_WINDOW: Duration = Duration::from_millis(150);
+/// Time constant of the exponentially decaying average of token use.
+const USAGE_TIME_CONSTANT: Duration = Duration::from_secs(2);
 
-/// What becomes of a call that wants a token.
+/// Outcome of taking a token for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TakeOutcome {
-    /// It has one.
+    /// A cached token was taken.
     Taken,
-    /// One has to be asked for.
+    /// No token is cached; one has to be requested from a pool.
     RequestMore,
-    /// There is none for this long.
+    /// The pools have no tokens for this long.
     Exhausted(Duration),
 }
 
-/// An organisation's tokens at one daemon.
+/// The tokens of one organisation that a daemon has cached.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct TokenCache {
     tokens: u32,
-    granted: Option<Instant>,
-    dry_until: Option<Instant>,
-    /// Calls a second of late.
+    granted_at: Option<Instant>,
+    exhausted_until: Option<Instant>,
+    /// Recent rate of token use, in calls per second.
     used_per_s: f64,
-    counted: Option<Instant>,
+    last_used: Option<Instant>,
 }
 
 impl TokenCache {
-    /// Takes a token for a call, if there is one.
+    /// Takes a cached token for a call, if there is one.
     pub fn take(&mut self, now: Instant) -> TakeOutcome {
-        self.drop_old(now);
+        self.expire(now);
         if self.tokens > 0 {
             self.tokens -= 1;
-            self.count(now);
+            self.record_use(now);
             return TakeOutcome::Taken;
         }
-        match self.dry_until {
+        match self.exhausted_until {
             Some(until) if now < until => TakeOutcome::Exhausted(until - now),
             _ => TakeOutcome::RequestMore,
         }
     }
 
-    /// Whether tokens are to be asked for before the next call wants one.
+    /// Whether tokens should be requested now, before the next call needs one.
     #[must_use]
     pub fn needs_refill(&self, now: Instant) -> bool {
-        let is_dry = self.dry_until.is_some_and(|until| now < until);
-        !is_dry && self.tokens < self.ahead()
+        let is_exhausted = self.exhausted_until.is_some_and(|until| now < until);
+        !is_exhausted && self.tokens < self.prefetch_size()
     }
 
-    /// How many to ask for when `waiting` calls want one.
+    /// Returns the number of tokens to request while `waiting` calls wait for one.
     #[must_use]
     pub fn wanted(&self, waiting: u32) -> u32 {
-        waiting.max(1) + self.ahead().saturating_sub(self.tokens)
+        waiting.max(1) + self.prefetch_size().saturating_sub(self.tokens)
     }
 
-    /// Takes what a pool granted.
+    /// Adds the tokens of a pool's `grant`. If it has none, the cache counts as
+    /// exhausted until the pool expects its next token.
     pub fn granted(&mut self, grant: TokenGrant, now: Instant) {
-        self.drop_old(now);
+        self.expire(now);
         if grant.tokens > 0 {
             self.tokens += grant.tokens;
-            self.granted = Some(now);
-            self.dry_until = None;
+            self.granted_at = Some(now);
+            self.exhausted_until = None;
         } else {
-            self.dry_until = Some(now + grant.next_token_in);
+            self.exhausted_until = Some(now + grant.next_token_in);
         }
     }
 
-    /// Takes back the token of a call that did not run.
+    /// Returns the token of a call that did not run to the cache.
     pub fn refund(&mut self, now: Instant) {
-        self.drop_old(now);
+        self.expire(now);
         self.tokens += 1;
-        self.granted.get_or_insert(now);
+        self.granted_at.get_or_insert(now);
     }
 
-    fn ahead(&self) -> u32 {
-        u32::try_from(whole_of(self.used_per_s * AHEAD.as_secs_f64())).unwrap_or(0)
+    /// Number of tokens to hold in advance at the recent rate of use.
+    fn prefetch_size(&self) -> u32 {
+        u32::try_from(whole_of(self.used_per_s * PREFETCH_WINDOW.as_secs_f64())).unwrap_or(0)
     }
 
-    fn drop_old(&mut self, now: Instant) {
-        let is_old = self.granted.is_some_and(|at| now >= at + KEPT_FOR);
-        if is_old {
+    /// Discards all tokens if the last grant is too long ago.
+    fn expire(&mut self, now: Instant) {
+        let is_expired = self.granted_at.is_some_and(|at| now >= at + TOKEN_TTL);
+        if is_expired {
             self.tokens = 0;
-            self.granted = None;
+            self.granted_at = None;
         }
     }
 
-    /// Counts a call into the use of late, in which older ones weigh less.
-    fn count(&mut self, now: Instant) {
-        let passed = self.counted.map_or(USE_OVER, |at| now - at);
-        let faded = (-passed.as_secs_f64() / USE_OVER.as_secs_f64()).exp();
-        self.used_per_s = self.used_per_s * faded + 1.0 / USE_OVER.as_secs_f64();
-        self.counted = Some(now);
+    /// Adds one call to the decaying average of token use.
+    fn record_use(&mut self, now: Instant) {
+        let elapsed = self.last_used.map_or(USAGE_TIME_CONSTANT, |at| now - at);
+        let decay = (-elapsed.as_secs_f64() / USAGE_TIME_CONSTANT.as_secs_f64()).exp();
+        self.used_per_s = self.used_per_s * decay + 1.0 / USAGE_TIME_CONSTANT.as_secs_f64();
+        self.last_used = Some(now);
     }
 }
