--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -12,8 +12,8 @@
 use filbert_policy::budget::{RetryBudget, RetryBudgetLimits, RetryCause};
 use filbert_policy::identity::{CallIdentity, IdentityParts};
 use filbert_policy::organisations::keys::{KeyHash, KeyIndex, OrganisationRule, RateLimit};
-use filbert_policy::organisations::quota::{PoolPart, QuotaTerms, TokenPool};
-use filbert_policy::organisations::stash::TokenStash;
+use filbert_policy::organisations::quota::{PoolTopology, QuotaPolicy, TokenPool};
+use filbert_policy::organisations::token_cache::TokenCache;
 use filbert_policy::placement::{choose_target, CrossZoneCost, PlacementRequest, TargetView};
 use filbert_policy::quarantine::{CallRecord, CrashMark, QuarantineBook};
 use filbert_policy::rollout::judge::{CallCounts, TargetCounts, VersionJudge, VersionSide};
@@ -264,18 +264,18 @@
         black_box(index.holder("no key at all"));
     });
     let now = Instant::now();
-    let part = PoolPart {
+    let part = PoolTopology {
         zones: 3,
         pools: 2,
         hosts: 20,
         leased_by: 20,
     };
-    let mut pool = TokenPool::new(QuotaTerms::default());
-    let mut stash = TokenStash::default();
+    let mut pool = TokenPool::new(QuotaPolicy::default());
+    let mut token_cache = TokenCache::default();
     measure("a token from pool to call", |round| {
         let now = now + Duration::from_millis(u64::from(round));
-        stash.granted(pool.grant("one", limit, part.share(), 1, now), now);
-        black_box(stash.take(now));
+        token_cache.granted(pool.grant("one", limit, part.share(), 1, now), now);
+        black_box(token_cache.take(now));
     });
 }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -15,7 +15,7 @@
 //!   [`health`] and [`run_times`] its failures and run times.
 //! - [`egress`] paces answers on a slow network link.
 //! - [`membership`] plans the links to other hosts.
-//! - [`store_asking`] decides which daemon queries the store, and when.
+//! - [`store_access`] decides which daemon queries the store, and when.
 //! - [`rollout`] moves a service to another software version or rolls it back.
 
 pub mod admission;
@@ -36,5 +36,5 @@
 pub mod rollout;
 pub mod routing;
 pub mod run_times;
-pub mod store_asking;
+pub mod store_access;
 pub mod weights;
