--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -13,7 +13,7 @@
 use filbert_policy::organisations::quota::{PoolPart, QuotaTerms, TokenPool};
 use filbert_policy::organisations::stash::TokenStash;
 use filbert_policy::placement::{choose, CallShape, CrossingCost, TargetView};
-use filbert_policy::quarantine::{CallRecord, CrashMark, QuarantineBook};
+use filbert_policy::quarantine::{CallRecord, QuarantineTable, TargetCrash};
 use filbert_policy::rollout::judge::{CallCounts, TargetCounts, VersionJudge, VersionSide};
 use filbert_policy::rollout::note::{OrderId, RolloutNote, RolloutStage};
 use filbert_policy::routing::{
@@ -171,19 +171,19 @@
         });
     }
     let now = Instant::now();
-    let mut book = QuarantineBook::default();
+    let mut table = QuarantineTable::default();
     for number in 0..2_000 {
-        let mark = CrashMark {
+        let crash = TargetCrash {
             id: number,
             began: now,
             ended: now,
         };
         let call = identity(&format!("/p/{number}"), b"");
-        book.merge(call, &CallRecord::of_mark(mark), now);
+        table.merge(call, &CallRecord::from_crash(crash), now);
     }
     let other = identity("/p/other", b"");
     measure("standing of a call, 2,000 suspected", |_| {
-        black_box(book.standing(other, 0.5, now));
+        black_box(table.quarantine_state(other, 0.5, now));
     });
 }
 
--- a/crates/ctl/src/cmd/held.rs
+++ b/crates/ctl/src/cmd/held.rs
@@ -7,7 +7,7 @@
 use filbert_platform::store::{RowEdit, StoreClient};
 use filbert_policy::clock::{Clock, ClockReading, SystemClock};
 use filbert_policy::identity::CallIdentity;
-use filbert_policy::quarantine::hold_after;
+use filbert_policy::quarantine::hold_duration;
 use serde::Serialize;
 
 use crate::cli::ReadFormat;
@@ -30,15 +30,15 @@
 impl HeldCall {
     fn of(row: &HeldRow, clock: &ClockReading) -> HeldCall {
         let record = row.record(clock);
-        let hold = hold_after(record.strikes(), 0.0);
+        let hold = hold_duration(record.strikes(), 0.0);
         let age = record
-            .marks()
+            .crashes()
             .last()
-            .map(|mark| clock.now.saturating_duration_since(mark.ended))
+            .map(|crash| clock.now.saturating_duration_since(crash.ended))
             .unwrap_or_default();
         HeldCall {
             call: row.call.to_string(),
-            ends: record.marks().count(),
+            ends: record.crashes().count(),
             last_end_ago_s: age.as_secs(),
             tried_in_s: hold.saturating_sub(age).as_secs(),
         }
--- a/crates/mesh/src/calls/attempt.rs
+++ b/crates/mesh/src/calls/attempt.rs
@@ -122,8 +122,8 @@
             left: Duration::from_micros(left_us),
         },
         ReplyHead::Lost { ended, .. } => {
-            if let Some(mark) = ended {
-                shared.quarantine.hear_mark(head.identity, mark);
+            if let Some(crash) = ended {
+                shared.quarantine.hear_crash(head.identity, crash);
             }
             AttemptOutcome::Lost
         }
--- a/crates/mesh/src/calls/place.rs
+++ b/crates/mesh/src/calls/place.rs
@@ -8,7 +8,7 @@
 
 use filbert_policy::attempt::{next_step, AttemptEnd, CallAllowance, NextStep};
 use filbert_policy::budget::RepeatCause;
-use filbert_policy::quarantine::CallStanding;
+use filbert_policy::quarantine::QuarantineState;
 use filbert_policy::routing::RouteRule;
 use filbert_policy::run_times::RunTime;
 
@@ -19,7 +19,7 @@
 use super::{ClientAnswer, ClientCall, FIRST_FAILURE};
 use crate::body::AnswerBody;
 use crate::messages::{micros, AnswerHead, CallHead};
-use crate::quarantine::TrialPermit;
+use crate::quarantine::ProbePermit;
 use crate::state::MeshShared;
 use ending::end_label;
 
@@ -63,7 +63,7 @@
     failure: Option<(AnswerHead, AnswerBody)>,
     last_end: Option<AttemptEnd>,
     /// Set while this call is the one try of a suspect.
-    trial: Option<TrialPermit>,
+    probe: Option<ProbePermit>,
     /// For how long the call is held back, once it is.
     held_for: Option<Duration>,
     /// Whether the next attempt was paid for from the budget already.
@@ -106,7 +106,7 @@
             room: None,
             failure: None,
             last_end: None,
-            trial: None,
+            probe: None,
             held_for: None,
             is_paid: Cell::new(false),
         }
@@ -176,17 +176,17 @@
     fn may_go(&mut self) -> bool {
         let quarantine = &self.shared.quarantine;
         let usual = self.head.usual_run.map(RunTime::from);
-        match quarantine.standing(self.head.identity) {
-            CallStanding::Free => return true,
-            CallStanding::Tried if self.trial.is_some() => return true,
-            CallStanding::Trial => {
-                self.trial = Some(quarantine.begin_trial(self.head.identity));
+        match quarantine.quarantine_state(self.head.identity) {
+            QuarantineState::Unrestricted => return true,
+            QuarantineState::ProbeInFlight if self.probe.is_some() => return true,
+            QuarantineState::ProbeAllowed => {
+                self.probe = Some(quarantine.begin_probe(self.head.identity));
                 return true;
             }
-            CallStanding::Tried => {
+            QuarantineState::ProbeInFlight => {
                 self.held_for = Some(usual.map_or(NO_TARGET, |usual| usual.mean));
             }
-            CallStanding::Held(left) => self.held_for = Some(left),
+            QuarantineState::Held(left) => self.held_for = Some(left),
         }
         false
     }
--- a/crates/mesh/src/gate/end.rs
+++ b/crates/mesh/src/gate/end.rs
@@ -7,7 +7,7 @@
 use filbert_policy::identity::CallIdentity;
 
 use super::Gate;
-use crate::quarantine::AgedMark;
+use crate::quarantine::AgedCrash;
 
 /// Shortest time for which a target that took no connection is left alone,
 /// unless it reports. A live one reports soon; each try at a dead one costs a
@@ -35,7 +35,7 @@
         &self,
         call: CallIdentity,
         began: Instant,
-    ) -> Option<AgedMark> {
+    ) -> Option<AgedCrash> {
         if self.has_left() {
             return None;
         }
--- a/crates/mesh/src/gate/run.rs
+++ b/crates/mesh/src/gate/run.rs
@@ -14,7 +14,7 @@
 use crate::body::{AheadBody, AnswerBody, CallBody};
 use crate::logging::LineWeight;
 use crate::messages::{micros, AnswerHead, CallHead, ReplyHead};
-use crate::quarantine::AgedMark;
+use crate::quarantine::AgedCrash;
 use crate::rollouts::tally::{RunTold, RunWatch};
 use crate::target::{ExchangeEnd, ExchangeTerms};
 
@@ -224,14 +224,14 @@
         );
     }
 
-    fn lost(&self, ended: Option<AgedMark>) -> ReplyHead {
+    fn lost(&self, ended: Option<AgedCrash>) -> ReplyHead {
         let load = self.load();
         ReplyHead::Lost { ended, load }
     }
 
     /// Refuses a call that is held back: its own daemon may not have heard of it.
     fn hold_back(&self, call: &CallHead) -> Option<ReplyHead> {
-        let left = self.quarantine.held_for(call.identity);
+        let left = self.quarantine.remaining_hold(call.identity);
         if left.is_zero() {
             return None;
         }
--- a/crates/mesh/src/held_rows.rs
+++ b/crates/mesh/src/held_rows.rs
@@ -11,7 +11,7 @@
 use filbert_platform::store::StoreRow;
 use filbert_policy::clock::ClockReading;
 use filbert_policy::identity::CallIdentity;
-use filbert_policy::quarantine::{CallRecord, CrashMark};
+use filbert_policy::quarantine::{CallRecord, TargetCrash};
 use serde::{Deserialize, Serialize};
 
 use crate::messages::RowChange;
@@ -27,14 +27,14 @@
     /// Which call.
     pub call: CallIdentity,
     /// The ends of targets under it.
-    pub marks: Vec<RowMark>,
+    pub crashes: Vec<StoredCrash>,
     /// Unix millisecond at which it was let go, if it was.
     pub cleared_ms: Option<u64>,
 }
 
-/// A [`CrashMark`] in wall time.
+/// A [`TargetCrash`] in wall time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RowMark {
+pub struct StoredCrash {
     id: u64,
     began_ms: u64,
     ended_ms: u64,
@@ -57,14 +57,14 @@
     /// The row of `call`.
     #[must_use]
     pub fn of(call: CallIdentity, record: &CallRecord, clock: &ClockReading) -> HeldRow {
-        let row_mark = |mark: &CrashMark| RowMark {
-            id: mark.id,
-            began_ms: wall_ms(mark.began, clock),
-            ended_ms: wall_ms(mark.ended, clock),
+        let stored_crash = |crash: &TargetCrash| StoredCrash {
+            id: crash.id,
+            began_ms: wall_ms(crash.began, clock),
+            ended_ms: wall_ms(crash.ended, clock),
         };
         HeldRow {
             call,
-            marks: record.marks().map(row_mark).collect(),
+            crashes: record.crashes().map(stored_crash).collect(),
             cleared_ms: record.cleared().map(|at| wall_ms(at, clock)),
         }
     }
@@ -74,7 +74,7 @@
     pub fn release(call: CallIdentity, clock: &ClockReading) -> HeldRow {
         HeldRow {
             call,
-            marks: Vec::new(),
+            crashes: Vec::new(),
             cleared_ms: Some(clock.wall_ms()),
         }
     }
@@ -104,16 +104,16 @@
     /// What it says.
     #[must_use]
     pub fn record(&self, clock: &ClockReading) -> CallRecord {
-        let mark = |mark: &RowMark| {
-            Some(CrashMark {
-                id: mark.id,
-                began: moment_of(mark.began_ms, clock)?,
-                ended: moment_of(mark.ended_ms, clock)?,
+        let crash = |crash: &StoredCrash| {
+            Some(TargetCrash {
+                id: crash.id,
+                began: moment_of(crash.began_ms, clock)?,
+                ended: moment_of(crash.ended_ms, clock)?,
             })
         };
-        let marks = self.marks.iter().filter_map(mark).collect();
+        let crashes = self.crashes.iter().filter_map(crash).collect();
         let cleared = self.cleared_ms.and_then(|ms| moment_of(ms, clock));
-        CallRecord::new(marks, cleared, None)
+        CallRecord::new(crashes, cleared, None)
     }
 }
 
@@ -176,8 +176,8 @@
 ) -> Option<RowChange> {
     if record.is_held() {
         let held = HeldRow::of(call, record, clock);
-        let marks = held.marks.len();
-        let is_news = written.insert(call, marks) != Some(marks);
+        let crashes = held.crashes.len();
+        let is_news = written.insert(call, crashes) != Some(crashes);
         return is_news.then_some(RowChange::Hold(held));
     }
     let was_written = written.remove(&call).is_some();
--- a/crates/mesh/src/messages/calls.rs
+++ b/crates/mesh/src/messages/calls.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{micros, TargetLoad};
-use crate::quarantine::AgedMark;
+use crate::quarantine::AgedCrash;
 
 /// A call on its way to the target's daemon; its body follows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -96,7 +96,7 @@
     /// The call was sent and gave no usable answer.
     Lost {
         /// Set when the target ended under it.
-        ended: Option<AgedMark>,
+        ended: Option<AgedCrash>,
         /// The target's load.
         load: TargetLoad,
     },
--- a/crates/mesh/src/news.rs
+++ b/crates/mesh/src/news.rs
@@ -51,7 +51,7 @@
     if let Err(error) = listener.say(&hello) {
         return error;
     }
-    if let Some(suspects) = shared.quarantine.serious() {
+    if let Some(suspects) = shared.quarantine.suspects() {
         if let Err(error) = listener.say(&suspects) {
             return error;
         }
--- a/crates/mesh/src/quarantine.rs
+++ b/crates/mesh/src/quarantine.rs
@@ -9,7 +9,7 @@
 use filbert_policy::clock::Clock;
 use filbert_policy::identity::CallIdentity;
 use filbert_policy::quarantine::{
-    is_forgotten, CallRecord, CallStanding, CrashMark, QuarantineBook, RecordChange,
+    is_expired, CallRecord, MergeOutcome, QuarantineState, QuarantineTable, TargetCrash,
 };
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
@@ -36,16 +36,16 @@
     /// Which call.
     pub call: CallIdentity,
     /// The ends that count.
-    pub marks: Vec<AgedMark>,
+    pub crashes: Vec<AgedCrash>,
     /// Milliseconds since it last ran well, if it did.
     pub cleared_ago_ms: Option<u64>,
     /// Milliseconds since a try went that has not ended.
-    pub tried_ago_ms: Option<u64>,
+    pub probe_started_ago_ms: Option<u64>,
 }
 
-/// A [`CrashMark`] with ages in place of times: clocks differ.
+/// A [`TargetCrash`] with ages in place of times: clocks differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AgedMark {
+pub struct AgedCrash {
     id: u64,
     began_ago_ms: u64,
     ended_ago_ms: u64,
@@ -61,17 +61,17 @@
     now.checked_sub(Duration::from_millis(age_ms))
 }
 
-impl AgedMark {
-    fn of(mark: &CrashMark, now: Instant) -> AgedMark {
-        AgedMark {
-            id: mark.id,
-            began_ago_ms: age_ms(mark.began, now),
-            ended_ago_ms: age_ms(mark.ended, now),
+impl AgedCrash {
+    fn of(crash: &TargetCrash, now: Instant) -> AgedCrash {
+        AgedCrash {
+            id: crash.id,
+            began_ago_ms: age_ms(crash.began, now),
+            ended_ago_ms: age_ms(crash.ended, now),
         }
     }
 
-    fn to_mark(self, now: Instant) -> Option<CrashMark> {
-        Some(CrashMark {
+    fn to_crash(self, now: Instant) -> Option<TargetCrash> {
+        Some(TargetCrash {
             id: self.id,
             began: time_of(self.began_ago_ms, now)?,
             ended: time_of(self.ended_ago_ms, now)?,
@@ -85,17 +85,20 @@
     pub fn of(call: CallIdentity, record: &CallRecord, now: Instant) -> SuspectCall {
         SuspectCall {
             call,
-            marks: record.marks().map(|mark| AgedMark::of(mark, now)).collect(),
+            crashes: record
+                .crashes()
+                .map(|crash| AgedCrash::of(crash, now))
+                .collect(),
             cleared_ago_ms: record.cleared().map(|at| age_ms(at, now)),
-            tried_ago_ms: record.tried().map(|at| age_ms(at, now)),
+            probe_started_ago_ms: record.probe_started().map(|at| age_ms(at, now)),
         }
     }
 
     fn record(&self, now: Instant) -> CallRecord {
-        let marks = self.marks.iter().filter_map(|mark| mark.to_mark(now));
+        let crashes = self.crashes.iter().filter_map(|crash| crash.to_crash(now));
         let cleared = self.cleared_ago_ms.and_then(|age| time_of(age, now));
-        let tried = self.tried_ago_ms.and_then(|age| time_of(age, now));
-        CallRecord::new(marks.collect(), cleared, tried)
+        let probe_started = self.probe_started_ago_ms.and_then(|age| time_of(age, now));
+        CallRecord::new(crashes.collect(), cleared, probe_started)
     }
 }
 
@@ -110,12 +113,12 @@
 
 /// The book that the daemon's parts share.
 pub struct SharedQuarantine {
-    book: RefCell<QuarantineBook>,
+    table: RefCell<QuarantineTable>,
     clock: Rc<dyn Clock>,
     metrics: Rc<MeshMetrics>,
     lines: LineBudget,
     /// A random fraction of this daemon's.
-    spread: f64,
+    jitter: f64,
     untold: RefCell<BTreeMap<CallIdentity, ToldCircle>>,
     has_untold: Notify,
     /// Rows of held calls in the store.
@@ -129,11 +132,11 @@
     #[must_use]
     pub fn new(metrics: Rc<MeshMetrics>, clock: Rc<dyn Clock>) -> Rc<SharedQuarantine> {
         Rc::new(SharedQuarantine {
-            book: RefCell::default(),
+            table: RefCell::default(),
             lines: LineBudget::new(clock.now()),
             clock,
             metrics,
-            spread: rand::random(),
+            jitter: rand::random(),
             untold: RefCell::default(),
             has_untold: Notify::new(),
             written: RefCell::default(),
@@ -143,21 +146,21 @@
 
     /// Notes that the target beside this daemon ended while it ran `call`,
     /// begun at `began`; the mark for the call's own daemon.
-    pub fn target_ended(&self, call: CallIdentity, began: Instant) -> AgedMark {
+    pub fn target_ended(&self, call: CallIdentity, began: Instant) -> AgedCrash {
         let now = self.clock.now();
-        let mark = CrashMark {
+        let crash = TargetCrash {
             id: rand::random(),
             began,
             ended: now,
         };
-        self.note(call, &CallRecord::of_mark(mark), "target");
-        AgedMark::of(&mark, now)
+        self.note(call, &CallRecord::from_crash(crash), "target");
+        AgedCrash::of(&crash, now)
     }
 
     /// Takes over the mark that came with the reply to `call`.
-    pub fn hear_mark(&self, call: CallIdentity, mark: AgedMark) {
-        if let Some(mark) = mark.to_mark(self.clock.now()) {
-            self.note(call, &CallRecord::of_mark(mark), "reply");
+    pub fn hear_crash(&self, call: CallIdentity, crash: AgedCrash) {
+        if let Some(crash) = crash.to_crash(self.clock.now()) {
+            self.note(call, &CallRecord::from_crash(crash), "reply");
         }
     }
 
@@ -175,11 +178,11 @@
     /// Takes over a row of the store, unless it is long over; whether it is not.
     pub fn hear_row(&self, held: &HeldRow) -> bool {
         let record = held.record(&self.clock.reading());
-        if is_forgotten(&record, self.clock.now()) {
+        if is_expired(&record, self.clock.now()) {
             return false;
         }
-        let marks = held.marks.len();
-        self.written.borrow_mut().insert(held.call, marks);
+        let crashes = held.crashes.len();
+        self.written.borrow_mut().insert(held.call, crashes);
         self.note(held.call, &record, "store");
         true
     }
@@ -187,27 +190,27 @@
     /// What is to become of the row of `call`, now that there is news of it.
     #[must_use]
     pub fn row_change(&self, call: CallIdentity) -> Option<RowChange> {
-        let book = self.book.borrow();
+        let table = self.table.borrow();
         let mut written = self.written.borrow_mut();
         let clock = self.clock.reading();
-        held_rows::row_change(call, book.record(call)?, &mut written, &clock)
+        held_rows::row_change(call, table.record(call)?, &mut written, &clock)
     }
 
     /// Takes all rows for lost; the calls whose rows may have to be written again.
     #[must_use]
     pub fn forget_rows(&self) -> Vec<CallIdentity> {
         self.written.borrow_mut().clear();
-        let book = self.book.borrow();
-        book.serious().into_iter().map(|(call, _)| call).collect()
+        let table = self.table.borrow();
+        table.suspects().into_iter().map(|(call, _)| call).collect()
     }
 
-    fn note(&self, call: CallIdentity, record: &CallRecord, from: &str) -> RecordChange {
+    fn note(&self, call: CallIdentity, record: &CallRecord, from: &str) -> MergeOutcome {
         self.is_used.set(true);
         let now = self.clock.now();
-        let change = self.book.borrow_mut().merge(call, record, now);
+        let change = self.table.borrow_mut().merge(call, record, now);
         if change.is_new {
             self.say_change(call, change, from);
-            let circle = if change.is_serious() {
+            let circle = if change.needs_broadcast() {
                 ToldCircle::All
             } else {
                 ToldCircle::Few
@@ -217,9 +220,9 @@
         change
     }
 
-    fn say_change(&self, call: CallIdentity, change: RecordChange, from: &str) {
-        let RecordChange { before, now, .. } = change;
-        if change.holds() {
+    fn say_change(&self, call: CallIdentity, change: MergeOutcome, from: &str) {
+        let MergeOutcome { before, now, .. } = change;
+        if change.starts_hold() {
             self.metrics.quarantined("held");
             log::warn!("event=call_held call={call} strikes={now} from={from}");
         } else if now > before {
@@ -244,51 +247,51 @@
         if !self.is_used.get() {
             return;
         }
-        let mut book = self.book.borrow_mut();
-        let is_serious = book.is_suspect(call);
-        let strikes = book.note_success(call, self.clock.now());
+        let mut table = self.table.borrow_mut();
+        let needs_broadcast = table.is_suspect(call);
+        let strikes = table.record_success(call, self.clock.now());
         if strikes > 0 {
             self.say_cleared(call, strikes, "target");
         }
-        if is_serious {
+        if needs_broadcast {
             self.tell(call, ToldCircle::All);
         }
     }
 
     /// What may be done with `call` here.
     #[must_use]
-    pub fn standing(&self, call: CallIdentity) -> CallStanding {
+    pub fn quarantine_state(&self, call: CallIdentity) -> QuarantineState {
         if !self.is_used.get() {
-            return CallStanding::Free;
+            return QuarantineState::Unrestricted;
         }
         let now = self.clock.now();
-        self.book.borrow().standing(call, self.spread, now)
+        self.table.borrow().quarantine_state(call, self.jitter, now)
     }
 
     /// Time for which no daemon lets `call` go.
     #[must_use]
-    pub fn held_for(&self, call: CallIdentity) -> Duration {
+    pub fn remaining_hold(&self, call: CallIdentity) -> Duration {
         if !self.is_used.get() {
             return Duration::ZERO;
         }
-        self.book.borrow().held_for(call, self.clock.now())
+        self.table.borrow().remaining_hold(call, self.clock.now())
     }
 
     /// Whether `call` is not to be sent to another target by itself.
     #[must_use]
     pub fn is_suspect(&self, call: CallIdentity) -> bool {
-        self.is_used.get() && self.book.borrow().is_suspect(call)
+        self.is_used.get() && self.table.borrow().is_suspect(call)
     }
 
     /// Lets the one try of `call` go.
     #[must_use]
-    pub fn begin_trial(self: &Rc<Self>, call: CallIdentity) -> TrialPermit {
-        self.book.borrow_mut().begin_trial(call, self.clock.now());
+    pub fn begin_probe(self: &Rc<Self>, call: CallIdentity) -> ProbePermit {
+        self.table.borrow_mut().begin_probe(call, self.clock.now());
         self.tell(call, ToldCircle::All);
         if self.lines.takes(LineWeight::Notable, self.clock.now()) {
             log::info!("event=call_tried call={call}");
         }
-        TrialPermit {
+        ProbePermit {
             quarantine: Rc::clone(self),
             call,
         }
@@ -297,7 +300,7 @@
     /// Calls held back now.
     #[must_use]
     pub fn held(&self) -> usize {
-        self.book.borrow().held(self.clock.now())
+        self.table.borrow().held(self.clock.now())
     }
 
     fn tell(&self, call: CallIdentity, circle: ToldCircle) {
@@ -310,11 +313,11 @@
     /// What a daemon that has just linked here, or that was just linked to, is
     /// to know. It may have started later, or have been cut off.
     #[must_use]
-    pub fn serious(&self) -> Option<LinkMessage> {
+    pub fn suspects(&self) -> Option<LinkMessage> {
         let now = self.clock.now();
-        let book = self.book.borrow();
-        let calls: Vec<SuspectCall> = book
-            .serious()
+        let table = self.table.borrow();
+        let calls: Vec<SuspectCall> = table
+            .suspects()
             .into_iter()
             .take(MOST_TOLD)
             .map(|(call, record)| SuspectCall::of(call, record, now))
@@ -325,7 +328,7 @@
     /// Takes out what `circle` is to hear, as much as one message holds.
     fn take_untold(&self, circle: ToldCircle) -> Vec<SuspectCall> {
         let now = self.clock.now();
-        let book = self.book.borrow();
+        let table = self.table.borrow();
         let mut untold = self.untold.borrow_mut();
         let of_circle = untold.iter().filter(|(_, wanted)| **wanted == circle);
         let calls: Vec<CallIdentity> = of_circle.map(|(call, _)| *call).take(MOST_TOLD).collect();
@@ -337,20 +340,20 @@
         }
         calls
             .into_iter()
-            .filter_map(|call| Some(SuspectCall::of(call, book.record(call)?, now)))
+            .filter_map(|call| Some(SuspectCall::of(call, table.record(call)?, now)))
             .collect()
     }
 }
 
 /// The right of a suspect's one try; dropping it ends the try.
-pub struct TrialPermit {
+pub struct ProbePermit {
     quarantine: Rc<SharedQuarantine>,
     call: CallIdentity,
 }
 
-impl Drop for TrialPermit {
+impl Drop for ProbePermit {
     fn drop(&mut self) {
-        self.quarantine.book.borrow_mut().end_trial(self.call);
+        self.quarantine.table.borrow_mut().end_probe(self.call);
     }
 }
 
--- a/crates/mesh/src/serve_peers/news.rs
+++ b/crates/mesh/src/serve_peers/news.rs
@@ -104,7 +104,7 @@
     }
     news.push(LinkMessage::Store(store));
     news.extend(shared.version_age());
-    news.extend(shared.quarantine.serious());
+    news.extend(shared.quarantine.suspects());
     news.extend(shared.all_rollouts());
     // A restarted daemon that cannot reach the store learns here whom to call.
     if !shared.members.is_known.get() {
--- a/crates/mesh/tests/quarantine_cases.rs
+++ b/crates/mesh/tests/quarantine_cases.rs
@@ -8,7 +8,7 @@
 use filbert_platform::store::StoreRow;
 use filbert_policy::clock::ClockReading;
 use filbert_policy::identity::{CallIdentity, IdentityParts};
-use filbert_policy::quarantine::{CallRecord, CrashMark};
+use filbert_policy::quarantine::{CallRecord, TargetCrash};
 use rstest::rstest;
 
 /// Bytes of the news of one end; told to some daemons by each, it is the price of
@@ -28,8 +28,8 @@
     })
 }
 
-fn mark(id: u64, now: Instant) -> CrashMark {
-    CrashMark {
+fn crash(id: u64, now: Instant) -> TargetCrash {
+    TargetCrash {
         id,
         began: now.checked_sub(Duration::from_millis(900)).unwrap_or(now),
         ended: now,
@@ -41,7 +41,7 @@
     let now = Instant::now();
     let calls = (0..UNDER_WAY)
         .map(|number| {
-            let record = CallRecord::of_mark(mark(u64::MAX - number, now));
+            let record = CallRecord::from_crash(crash(u64::MAX - number, now));
             SuspectCall::of(call(number), &record, now + Duration::from_millis(40))
         })
         .collect();
@@ -63,16 +63,16 @@
 #[case::behind(-3)]
 fn a_row_says_what_was_known(#[case] reader_ahead_s: i64) {
     let now = Instant::now();
-    let marks = [0, 1_000, 2_000].map(|began_ms| {
+    let crashes = [0, 1_000, 2_000].map(|began_ms| {
         let began = now + Duration::from_millis(began_ms);
-        CrashMark {
+        TargetCrash {
             id: began_ms,
             began,
             ended: began + Duration::from_millis(40),
         }
     });
     let written_at = now + Duration::from_mins(1);
-    let record = CallRecord::new(marks.to_vec(), None, None);
+    let record = CallRecord::new(crashes.to_vec(), None, None);
     let row = HeldRow::of(call(0), &record, &clock(written_at, 10_000));
     let stored = StoreRow {
         key: key_of(call(0)),
--- a/crates/policy/src/quarantine/mod.rs
+++ b/crates/policy/src/quarantine/mod.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 use crate::identity::CallIdentity;
-pub use record::{CallRecord, CrashMark};
+pub use record::{CallRecord, TargetCrash};
 
 /// Strikes from which a call runs once at a time in the whole fleet, and is not
 /// sent on by itself.
@@ -45,20 +45,20 @@
 
 /// What may be done with a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallStanding {
+pub enum QuarantineState {
     /// Whatever is done with others.
-    Free,
+    Unrestricted,
     /// It may run as the only one of its identity.
-    Trial,
+    ProbeAllowed,
     /// Another of its identity is being tried.
-    Tried,
+    ProbeInFlight,
     /// It is not to run before that time has passed.
     Held(Duration),
 }
 
 /// What a mark or a message changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RecordChange {
+pub struct MergeOutcome {
     /// Strikes before.
     pub before: u32,
     /// Strikes now.
@@ -69,64 +69,64 @@
     pub is_sender_behind: bool,
 }
 
-impl RecordChange {
+impl MergeOutcome {
     /// Whether the call came to be held back.
     #[must_use]
-    pub fn holds(self) -> bool {
+    pub fn starts_hold(self) -> bool {
         self.before < HELD_STRIKES && self.now >= HELD_STRIKES
     }
 
     /// Whether all daemons must know. A first mark is mostly a bystander's.
     #[must_use]
-    pub fn is_serious(self) -> bool {
+    pub fn needs_broadcast(self) -> bool {
         self.before.max(self.now) >= SUSPECT_STRIKES
     }
 }
 
-/// How long a call with `strikes` is held back after the last of them; `spread`,
+/// How long a call with `strikes` is held back after the last of them; `jitter`,
 /// a fraction of the daemon's own, keeps daemons from trying at one moment.
 #[must_use]
-pub fn hold_after(strikes: u32, spread: f64) -> Duration {
+pub fn hold_duration(strikes: u32, jitter: f64) -> Duration {
     if strikes < SUSPECT_STRIKES {
         return Duration::ZERO;
     }
-    let spread = spread.clamp(0.0, 1.0);
+    let jitter = jitter.clamp(0.0, 1.0);
     let Some(more) = strikes.checked_sub(HELD_STRIKES) else {
-        return SUSPECT_SPREAD.mul_f64(spread);
+        return SUSPECT_SPREAD.mul_f64(jitter);
     };
     let factor = HOLD_GROWTH.saturating_pow(more);
     FIRST_HOLD
         .saturating_mul(factor)
         .min(LONGEST_HOLD)
-        .mul_f64(1.0 + spread)
+        .mul_f64(1.0 + jitter)
 }
 
 /// Whether what `record` says is so old that it is not remembered.
 #[must_use]
-pub fn is_forgotten(record: &CallRecord, now: Instant) -> bool {
-    record.is_over(hold_after(record.strikes(), 1.0) + REMEMBERED, now)
+pub fn is_expired(record: &CallRecord, now: Instant) -> bool {
+    record.is_over(hold_duration(record.strikes(), 1.0) + REMEMBERED, now)
 }
 
 /// A daemon's book of the calls that were at work as targets ended.
 #[derive(Clone, Debug, Default)]
-pub struct QuarantineBook {
+pub struct QuarantineTable {
     records: HashMap<CallIdentity, CallRecord>,
 }
 
-impl QuarantineBook {
+impl QuarantineTable {
     /// Takes over a mark, or what another daemon knows of `call`.
-    pub fn merge(&mut self, call: CallIdentity, told: &CallRecord, now: Instant) -> RecordChange {
+    pub fn merge(&mut self, call: CallIdentity, told: &CallRecord, now: Instant) -> MergeOutcome {
         if !self.records.contains_key(&call) {
             self.make_room(now);
         }
         let record = self.records.entry(call).or_default();
-        if is_forgotten(record, now) {
+        if is_expired(record, now) {
             *record = CallRecord::default();
         }
         let before = record.strikes();
         let is_sender_behind = record.has_later_clearing(told);
         let is_new = record.merge(told);
-        RecordChange {
+        MergeOutcome {
             before,
             now: record.strikes(),
             is_new,
@@ -136,7 +136,7 @@
 
     /// Notes that a target ran `call` and answered: it harms none. The strikes
     /// that it is cleared of.
-    pub fn note_success(&mut self, call: CallIdentity, now: Instant) -> u32 {
+    pub fn record_success(&mut self, call: CallIdentity, now: Instant) -> u32 {
         let Some(record) = self.records.get_mut(&call) else {
             return 0;
         };
@@ -147,31 +147,36 @@
         strikes
     }
 
-    /// What may be done with `call`; `spread` is a random fraction of the
+    /// What may be done with `call`; `jitter` is a random fraction of the
     /// daemon's own. The calls that are held since one moment are tried at
     /// different ones: beside each other they would be told apart by nothing.
     #[must_use]
-    pub fn standing(&self, call: CallIdentity, spread: f64, now: Instant) -> CallStanding {
+    pub fn quarantine_state(
+        &self,
+        call: CallIdentity,
+        jitter: f64,
+        now: Instant,
+    ) -> QuarantineState {
         let Some(record) = self.records.get(&call) else {
-            return CallStanding::Free;
+            return QuarantineState::Unrestricted;
         };
         let strikes = record.strikes();
-        if strikes < SUSPECT_STRIKES || is_forgotten(record, now) {
-            return CallStanding::Free;
+        if strikes < SUSPECT_STRIKES || is_expired(record, now) {
+            return QuarantineState::Unrestricted;
         }
-        let spread = (spread + call.fraction()).fract();
-        match record.held_for(hold_after(strikes, spread), now) {
-            Duration::ZERO if record.is_tried(TRIAL_TIME, now) => CallStanding::Tried,
-            Duration::ZERO => CallStanding::Trial,
-            left => CallStanding::Held(left),
+        let jitter = (jitter + call.fraction()).fract();
+        match record.remaining_hold(hold_duration(strikes, jitter), now) {
+            Duration::ZERO if record.is_tried(TRIAL_TIME, now) => QuarantineState::ProbeInFlight,
+            Duration::ZERO => QuarantineState::ProbeAllowed,
+            left => QuarantineState::Held(left),
         }
     }
 
     /// Time for which no daemon, whatever its spread, lets `call` go.
     #[must_use]
-    pub fn held_for(&self, call: CallIdentity, now: Instant) -> Duration {
+    pub fn remaining_hold(&self, call: CallIdentity, now: Instant) -> Duration {
         self.records.get(&call).map_or(Duration::ZERO, |record| {
-            record.held_for(hold_after(record.strikes(), 0.0), now)
+            record.remaining_hold(hold_duration(record.strikes(), 0.0), now)
         })
     }
 
@@ -188,14 +193,14 @@
     }
 
     /// Notes that the one try of `call` goes; others are to know.
-    pub fn begin_trial(&mut self, call: CallIdentity, now: Instant) {
+    pub fn begin_probe(&mut self, call: CallIdentity, now: Instant) {
         if let Some(record) = self.records.get_mut(&call) {
             record.set_tried(Some(now));
         }
     }
 
     /// Notes that it has ended, whatever came of it.
-    pub fn end_trial(&mut self, call: CallIdentity) {
+    pub fn end_probe(&mut self, call: CallIdentity) {
         if let Some(record) = self.records.get_mut(&call) {
             record.set_tried(None);
         }
@@ -209,7 +214,7 @@
 
     /// The calls that all daemons must know of, most strikes first.
     #[must_use]
-    pub fn serious(&self) -> Vec<(CallIdentity, &CallRecord)> {
+    pub fn suspects(&self) -> Vec<(CallIdentity, &CallRecord)> {
         let mut calls: Vec<_> = self
             .records
             .iter()
@@ -225,7 +230,7 @@
     pub fn held(&self, now: Instant) -> usize {
         let calls = self.records.keys();
         calls
-            .filter(|call| self.held_for(**call, now) > Duration::ZERO)
+            .filter(|call| self.remaining_hold(**call, now) > Duration::ZERO)
             .count()
     }
 
@@ -236,7 +241,7 @@
         if self.records.len() < MOST_CALLS {
             return;
         }
-        self.records.retain(|_, record| !is_forgotten(record, now));
+        self.records.retain(|_, record| !is_expired(record, now));
         while self.records.len() >= MOST_CALLS {
             let least = self
                 .records
--- a/crates/policy/src/quarantine/record.rs
+++ b/crates/policy/src/quarantine/record.rs
@@ -12,7 +12,7 @@
 
 /// A target ended while it ran a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CrashMark {
+pub struct TargetCrash {
     /// Tells it from other marks of the call.
     pub id: u64,
     /// When the run began.
@@ -25,39 +25,40 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallRecord {
     /// In the order of their ends.
-    marks: Vec<CrashMark>,
+    crashes: Vec<TargetCrash>,
     /// When it last ran well; marks from before do not count.
     cleared: Option<Instant>,
     /// When a try last went that has not ended.
-    tried: Option<Instant>,
+    probe_started: Option<Instant>,
 }
 
 impl CallRecord {
     /// A record of one mark.
     #[must_use]
-    pub fn of_mark(mark: CrashMark) -> CallRecord {
-        CallRecord::new(vec![mark], None, None)
+    pub fn from_crash(crash: TargetCrash) -> CallRecord {
+        CallRecord::new(vec![crash], None, None)
     }
 
     /// A record as another daemon tells it.
     #[must_use]
     pub fn new(
-        mut marks: Vec<CrashMark>,
+        mut crashes: Vec<TargetCrash>,
         cleared: Option<Instant>,
-        tried: Option<Instant>,
+        probe_started: Option<Instant>,
     ) -> CallRecord {
-        marks.sort_by_key(|mark| mark.ended);
+        crashes.sort_by_key(|crash| crash.ended);
         CallRecord {
-            marks,
+            crashes,
             cleared,
-            tried,
+            probe_started,
         }
     }
 
     /// The marks that count, in the order of their ends.
-    pub fn marks(&self) -> impl Iterator<Item = &CrashMark> {
-        let counts = |mark: &&CrashMark| self.cleared.is_none_or(|cleared| mark.ended > cleared);
-        self.marks.iter().filter(counts)
+    pub fn crashes(&self) -> impl Iterator<Item = &TargetCrash> {
+        let counts =
+            |crash: &&TargetCrash| self.cleared.is_none_or(|cleared| crash.ended > cleared);
+        self.crashes.iter().filter(counts)
     }
 
     /// When it last ran well.
@@ -68,8 +69,8 @@
 
     /// When a try last went that has not ended, as far as is known.
     #[must_use]
-    pub fn tried(&self) -> Option<Instant> {
-        self.tried
+    pub fn probe_started(&self) -> Option<Instant> {
+        self.probe_started
     }
 
     /// How strongly its runs speak against it.
@@ -85,13 +86,13 @@
         let mut rounds = 0;
         let mut round_end = None;
         let mut last_end = None;
-        for (ends, mark) in (1..).zip(self.marks()) {
-            let is_later = |than: Option<Instant>, by| than.is_none_or(|at| mark.began >= at + by);
+        for (ends, crash) in (1..).zip(self.crashes()) {
+            let is_later = |than: Option<Instant>, by| than.is_none_or(|at| crash.began >= at + by);
             if strikes >= HELD_STRIKES {
                 strikes += u32::from(is_later(last_end, FIRST_HOLD));
             } else if is_later(round_end, Duration::ZERO) {
                 rounds += 1;
-                round_end = Some(mark.ended);
+                round_end = Some(crash.ended);
             }
             if strikes < HELD_STRIKES {
                 strikes = match rounds {
@@ -99,7 +100,7 @@
                     _ => ends.min(rounds + 1).min(HELD_STRIKES),
                 };
             }
-            last_end = Some(mark.ended);
+            last_end = Some(crash.ended);
         }
         strikes
     }
@@ -117,31 +118,31 @@
             self.cleared = told.cleared;
             is_new = true;
         }
-        if is_later(told.tried, self.tried) {
-            self.tried = told.tried;
+        if is_later(told.probe_started, self.probe_started) {
+            self.probe_started = told.probe_started;
             is_new = true;
         }
-        for mark in &told.marks {
-            is_new |= self.add(*mark);
+        for crash in &told.crashes {
+            is_new |= self.add(*crash);
         }
         is_new
     }
 
     /// Adds a mark, unless it is known, older than the clearing, or older than
     /// all of a full record: that would come and go for ever among daemons.
-    fn add(&mut self, mark: CrashMark) -> bool {
-        let is_known = self.marks.iter().any(|known| known.id == mark.id);
-        let is_cleared = self.cleared.is_some_and(|cleared| mark.ended <= cleared);
+    fn add(&mut self, crash: TargetCrash) -> bool {
+        let is_known = self.crashes.iter().any(|known| known.id == crash.id);
+        let is_cleared = self.cleared.is_some_and(|cleared| crash.ended <= cleared);
         let place = self
-            .marks
-            .partition_point(|known| known.ended <= mark.ended);
-        let is_full = self.marks.len() >= MOST_MARKS;
+            .crashes
+            .partition_point(|known| known.ended <= crash.ended);
+        let is_full = self.crashes.len() >= MOST_MARKS;
         if is_known || is_cleared || (is_full && place == 0) {
             return false;
         }
-        self.marks.insert(place, mark);
+        self.crashes.insert(place, crash);
         if is_full {
-            self.marks.remove(0);
+            self.crashes.remove(0);
         }
         true
     }
@@ -152,33 +153,34 @@
     }
 
     pub(super) fn clear(&mut self, now: Instant) {
-        self.marks.clear();
+        self.crashes.clear();
         self.cleared = Some(now);
-        self.tried = None;
+        self.probe_started = None;
     }
 
-    pub(super) fn set_tried(&mut self, tried: Option<Instant>) {
-        self.tried = tried;
+    pub(super) fn set_tried(&mut self, probe_started: Option<Instant>) {
+        self.probe_started = probe_started;
     }
 
     /// What is left of `hold` after the last mark.
-    pub(super) fn held_for(&self, hold: Duration, now: Instant) -> Duration {
-        self.marks().last().map_or(Duration::ZERO, |mark| {
-            (mark.ended + hold).saturating_duration_since(now)
+    pub(super) fn remaining_hold(&self, hold: Duration, now: Instant) -> Duration {
+        self.crashes().last().map_or(Duration::ZERO, |crash| {
+            (crash.ended + hold).saturating_duration_since(now)
         })
     }
 
     /// Whether a try that went within `time` has not ended. One after which a
     /// target ended is over.
     pub(super) fn is_tried(&self, time: Duration, now: Instant) -> bool {
-        let last_end = self.marks().last().map(|mark| mark.ended);
-        self.tried
-            .is_some_and(|tried| now < tried + time && Some(tried) > last_end)
+        let last_end = self.crashes().last().map(|crash| crash.ended);
+        self.probe_started.is_some_and(|probe_started| {
+            now < probe_started + time && Some(probe_started) > last_end
+        })
     }
 
     /// When it last changed.
     pub(super) fn last_change(&self) -> Option<Instant> {
-        let last_mark = self.marks.last().map(|mark| mark.ended);
+        let last_mark = self.crashes.last().map(|crash| crash.ended);
         last_mark.max(self.cleared)
     }
 
--- a/crates/policy/tests/quarantine_replay.rs
+++ b/crates/policy/tests/quarantine_replay.rs
@@ -5,7 +5,9 @@
 use std::time::{Duration, Instant};
 
 use filbert_policy::identity::{CallIdentity, IdentityParts};
-use filbert_policy::quarantine::{hold_after, CallRecord, CallStanding, CrashMark, QuarantineBook};
+use filbert_policy::quarantine::{
+    hold_duration, CallRecord, QuarantineState, QuarantineTable, TargetCrash,
+};
 use proptest::prelude::*;
 
 /// One step of time.
@@ -106,7 +108,7 @@
 }
 
 struct Fleet {
-    books: Vec<QuarantineBook>,
+    books: Vec<QuarantineTable>,
     spreads: Vec<f64>,
     targets: Vec<Target>,
     /// News under way: when they arrive, and what they say.
@@ -114,21 +116,21 @@
     news_time: Duration,
     sights: BTreeMap<CallIdentity, Sight>,
     now: Instant,
-    marks: u64,
+    crashes: u64,
     turn: usize,
 }
 
 impl Fleet {
     fn new(history: &History) -> Fleet {
         Fleet {
-            books: vec![QuarantineBook::default(); history.daemons],
+            books: vec![QuarantineTable::default(); history.daemons],
             spreads: history.spreads[..history.daemons].to_vec(),
             targets: (0..history.targets).map(|_| Target::default()).collect(),
             news: Vec::new(),
             news_time: STEP * u32::try_from(history.news_steps).unwrap_or(1),
             sights: BTreeMap::new(),
             now: Instant::now(),
-            marks: 0,
+            crashes: 0,
             turn: 0,
         }
     }
@@ -164,14 +166,14 @@
         let target = &mut self.targets[target];
         target.away_until = Some(self.now + AWAY);
         for run in std::mem::take(&mut target.runs) {
-            self.marks += 1;
-            let mark = CrashMark {
-                id: self.marks,
+            self.crashes += 1;
+            let crash = TargetCrash {
+                id: self.crashes,
                 began: run.began,
                 ended: self.now,
             };
             self.sights.entry(run.call).or_default().ends.push(self.now);
-            self.note(run.daemon, run.call, &CallRecord::of_mark(mark));
+            self.note(run.daemon, run.call, &CallRecord::from_crash(crash));
         }
     }
 
@@ -197,10 +199,10 @@
                 .partition(is_over);
             target.runs = left;
             for run in done {
-                let book = &mut self.books[run.daemon];
-                book.end_trial(run.call);
-                let was_suspect = book.is_suspect(run.call);
-                book.note_success(run.call, now);
+                let table = &mut self.books[run.daemon];
+                table.end_probe(run.call);
+                let was_suspect = table.is_suspect(run.call);
+                table.record_success(run.call, now);
                 if was_suspect {
                     self.send(run.daemon, run.call);
                 }
@@ -213,30 +215,30 @@
         self.turn += 1;
         let daemon = self.turn % self.books.len();
         let now = self.now;
-        let book = &mut self.books[daemon];
-        let standing = book.standing(call, self.spreads[daemon], now);
+        let table = &mut self.books[daemon];
+        let quarantine_state = table.quarantine_state(call, self.spreads[daemon], now);
         let mut is_trial = false;
         let sight = self.sights.entry(call).or_default();
-        match standing {
-            CallStanding::Free => {}
-            CallStanding::Trial => {
-                book.begin_trial(call, now);
+        match quarantine_state {
+            QuarantineState::Unrestricted => {}
+            QuarantineState::ProbeAllowed => {
+                table.begin_probe(call, now);
                 is_trial = true;
             }
-            CallStanding::Tried | CallStanding::Held(_) => {
+            QuarantineState::ProbeInFlight | QuarantineState::Held(_) => {
                 let since = *sight.refused_since.get_or_insert(now);
-                sight.most_strikes = sight.most_strikes.max(book.strikes(call));
+                sight.most_strikes = sight.most_strikes.max(table.strikes(call));
                 sight.longest_refused = sight.longest_refused.max(now.duration_since(since));
                 return;
             }
         }
         sight.refused_since = None;
-        let book = &self.books[daemon];
+        let table = &self.books[daemon];
         let is_open = |target: &&mut Target| {
-            let is_beside = |run: &Run| run.call != call && book.is_suspect(run.call);
+            let is_beside = |run: &Run| run.call != call && table.is_suspect(run.call);
             target.away_until.is_none()
                 && target.runs.len() < SLOTS
-                && !(book.is_suspect(call) && target.runs.iter().any(is_beside))
+                && !(table.is_suspect(call) && target.runs.iter().any(is_beside))
         };
         let open = self
             .targets
@@ -244,7 +246,7 @@
             .filter(is_open)
             .min_by_key(|target| target.runs.len());
         let Some(target) = open else {
-            self.books[daemon].end_trial(call);
+            self.books[daemon].end_probe(call);
             return;
         };
         sight.begun.push(now);
@@ -300,7 +302,7 @@
         }
         for (call, sight) in &fleet.sights {
             if *call != identity("/harmful") {
-                let bound = hold_after(sight.most_strikes, 1.0) + ASKED_AGAIN;
+                let bound = hold_duration(sight.most_strikes, 1.0) + ASKED_AGAIN;
                 prop_assert!(
                     sight.longest_refused <= bound,
                     "refused for {:?} after {} strikes", sight.longest_refused, sight.most_strikes
