--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -14,8 +14,8 @@
 use filbert_policy::organisations::stash::TokenStash;
 use filbert_policy::placement::{choose, CallShape, CrossingCost, TargetView};
 use filbert_policy::quarantine::{CallRecord, QuarantineTable, TargetCrash};
-use filbert_policy::rollout::judge::{CallCounts, TargetCounts, VersionJudge, VersionSide};
-use filbert_policy::rollout::note::{OrderId, RolloutNote, RolloutStage};
+use filbert_policy::rollout::judge::{CallCounts, CanaryJudge, TargetCounts, VersionSide};
+use filbert_policy::rollout::note::{OrderId, RolloutRecord, RolloutStage};
 use filbert_policy::routing::{
     ClientLimits, MeshVersion, RouteIndex, RouteKind, RoutePart, RouteRule,
 };
@@ -194,7 +194,7 @@
     let kinds: Vec<String> = (0..8).map(|kind| format!("r-{kind}")).collect();
     let counts_at = |round: u32| -> Vec<TargetCounts<'_>> {
         let of_target = |target: usize| TargetCounts {
-            gate: names[target].as_str(),
+            target_id: names[target].as_str(),
             zone: ["a", "b", "c"][target % 3],
             side: if target >= 100 {
                 VersionSide::New
@@ -212,12 +212,12 @@
         (0..names.len()).map(of_target).collect()
     };
     let start = Instant::now();
-    let mut judge = VersionJudge::default();
+    let mut judge = CanaryJudge::default();
     let looks = 60;
     let began = Instant::now();
     for round in 0..looks {
         let now = start + Duration::from_millis(200) * round;
-        black_box(judge.look(&counts_at(round), now));
+        black_box(judge.evaluate(&counts_at(round), now));
     }
     println!(
         "{:<44} {:>8.0} ns",
@@ -225,12 +225,12 @@
         began.elapsed().as_secs_f64() * 1e9 / f64::from(looks)
     );
     let order = OrderId { era: 0, version: 5 };
-    let note = RolloutNote {
+    let note = RolloutRecord {
         stage: RolloutStage::Trial { per_mille: 60 },
-        ..RolloutNote::ordered("quotes", "v2", Duration::from_secs(15), order)
+        ..RolloutRecord::ordered("quotes", "v2", Duration::from_secs(15), order)
     };
     measure("lane of a call during a trial", |_| {
-        black_box(note.lane("9c41d07be2a35f68", true));
+        black_box(note.version_preference("9c41d07be2a35f68", true));
     });
 }
 
--- a/crates/mesh/src/calls/pick.rs
+++ b/crates/mesh/src/calls/pick.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use filbert_policy::placement::{assumed_occupancy, choose, CallShape, CrossingCost, TargetView};
-use filbert_policy::rollout::note::VersionLane;
+use filbert_policy::rollout::note::VersionPreference;
 use filbert_policy::routing::RouteRule;
 use filbert_policy::run_times::RunTime;
 
@@ -98,18 +98,18 @@
     };
     let crossing = settings.crossing_cost();
     let among = |seen: Vec<SeenTarget>| choose_among(seen, tried, shape, &crossing);
-    let Some(lane) = shared.rollouts.lane(service, &head.id) else {
+    let Some(version_preference) = shared.rollouts.version_preference(service, &head.id) else {
         return among(of_most_common(seen));
     };
     let (new, old): (Vec<_>, Vec<_>) = seen
         .into_iter()
-        .partition(|target| target.software == lane.to);
-    match lane.lane {
-        VersionLane::NewOnly => among(new),
-        VersionLane::OldOnly => among(old),
+        .partition(|target| target.software == version_preference.to);
+    match version_preference.version_preference {
+        VersionPreference::NewOnly => among(new),
+        VersionPreference::OldOnly => among(old),
         // A call that was tried before has had its turn at the new version.
-        VersionLane::NewFirst if !tried.is_empty() => among(old),
-        VersionLane::NewFirst => among(new).or_else(|| among(old)),
+        VersionPreference::PreferNew if !tried.is_empty() => among(old),
+        VersionPreference::PreferNew => among(new).or_else(|| among(old)),
     }
 }
 
--- a/crates/mesh/src/rollouts/decide.rs
+++ b/crates/mesh/src/rollouts/decide.rs
@@ -4,11 +4,9 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use filbert_policy::rollout::judge::{
-    CallCounts, TargetCounts, Verdict, VersionJudge, VersionSide,
-};
+use filbert_policy::rollout::judge::{CallCounts, CanaryJudge, TargetCounts, Verdict, VersionSide};
 use filbert_policy::rollout::note::{RolloutStage, StageReason};
-use filbert_policy::rollout::schedule::{ExposurePlan, RolloutView, TrialSpread};
+use filbert_policy::rollout::schedule::{ExposureBudget, RolloutView, TrialPlacement};
 use twox_hash::XxHash64;
 
 use super::tally::HeardTally;
@@ -27,7 +25,7 @@
 
 /// One roll-out as this daemon follows it.
 struct FollowedRollout {
-    judge: VersionJudge,
+    judge: CanaryJudge,
     confirmed: Option<Instant>,
     /// Open targets of the new version, and when their number last changed.
     new_targets: Option<(usize, Instant)>,
@@ -36,14 +34,14 @@
 impl FollowedRollout {
     fn new() -> FollowedRollout {
         FollowedRollout {
-            judge: VersionJudge::default(),
+            judge: CanaryJudge::default(),
             confirmed: None,
             new_targets: None,
         }
     }
 
     /// Time since the number of new targets, now `count`, last changed.
-    fn steady_for(&mut self, count: usize, now: Instant) -> Duration {
+    fn stable_for(&mut self, count: usize, now: Instant) -> Duration {
         match self.new_targets {
             Some((before, since)) if before == count => now.saturating_duration_since(since),
             _ => {
@@ -77,12 +75,12 @@
                 continue;
             }
             let rollout = followed.entry(service).or_insert_with(FollowedRollout::new);
-            look(&shared, rollout, &entry);
+            evaluate(&shared, rollout, &entry);
         }
     }
 }
 
-fn look(shared: &Rc<MeshShared>, rollout: &mut FollowedRollout, entry: &RolloutEntry) {
+fn evaluate(shared: &Rc<MeshShared>, rollout: &mut FollowedRollout, entry: &RolloutEntry) {
     let service = entry.note.service.as_str();
     // Nothing begins before the store has taken this order: it may have been
     // seen to its end before this daemon started.
@@ -94,19 +92,19 @@
     let tallies = shared.rollouts.heard.of_service(service);
     let verdict = rollout
         .judge
-        .look(&counts_of(&tallies, &entry.note.to), now);
+        .evaluate(&counts_of(&tallies, &entry.note.to), now);
     shared
         .rollouts
-        .note_evidence(service, evidence_line(&verdict));
+        .set_evidence(service, evidence_line(&verdict));
     let mut view = view_of(shared, entry, &tallies, &verdict, now);
-    view.new_steady_for = rollout.steady_for(view.new_targets, now);
-    let plan = ExposurePlan {
+    view.new_targets_stable_for = rollout.stable_for(view.new_targets, now);
+    let budget = ExposureBudget {
         share: shared.settings.borrow().rollout.share,
         slack: shared.settings.borrow().rollout.slack,
         longest_call: shared.current_index().longest_timeout(service),
-        spread: TrialSpread::FewFull,
+        placement: TrialPlacement::FewTargets,
     };
-    match plan.next_stage(&view) {
+    match budget.next_stage(&view) {
         // Written first, under its condition.
         Some((RolloutStage::Completed, reason)) => shared.rollouts.want_completion(service, reason),
         Some((stage, reason)) => {
@@ -122,7 +120,7 @@
             );
             let begins = reason == StageReason::TargetsReady;
             let canaries = begins.then(|| {
-                let terms = plan.trial(&view);
+                let terms = budget.trial_size(&view);
                 choose_canaries(&tallies, &entry.note.to, terms.canaries)
             });
             let terms = DecisionTerms {
@@ -148,8 +146,8 @@
         verdict.evidence,
         verdict.kind.as_deref().unwrap_or("all"),
         verdict.span.as_millis(),
-        verdict.calls.ended,
-        verdict.calls.bad,
+        verdict.new_calls.ended,
+        verdict.new_calls.bad,
         verdict.old_calls.ended,
         verdict.old_calls.bad
     )
@@ -166,7 +164,7 @@
             (kind.kind.as_str(), counts)
         });
         TargetCounts {
-            gate: &tally.host,
+            target_id: &tally.host,
             zone: &tally.zone,
             side: side_of(heard, to),
             kinds: counts.collect(),
@@ -211,11 +209,11 @@
     }
     RolloutView {
         stage: entry.note.stage,
-        stage_for: now.saturating_duration_since(entry.stage_since),
+        stage_age: now.saturating_duration_since(entry.stage_since),
         elapsed: now.saturating_duration_since(entry.ordered),
         allowed: entry.note.allowed,
         new_targets: open(VersionSide::New),
-        new_steady_for: Duration::ZERO,
+        new_targets_stable_for: Duration::ZERO,
         old_targets: open(VersionSide::Old),
         verdict: verdict.clone(),
         old_at_work,
--- a/crates/mesh/src/rollouts/entry.rs
+++ b/crates/mesh/src/rollouts/entry.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use filbert_policy::rollout::note::{RolloutNote, StageReason};
+use filbert_policy::rollout::note::{RolloutRecord, StageReason};
 
 /// Time without confirmation by a decider after which nothing goes to a version
 /// on trial: three missed confirmations.
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 pub struct RolloutEntry {
     /// The note that wins so far.
-    pub note: RolloutNote,
+    pub note: RolloutRecord,
     /// When the order was given.
     pub ordered: Instant,
     /// When the stage began here.
@@ -47,7 +47,7 @@
 
 /// What a note changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum NoteNews {
+pub(super) enum RecordUpdate {
     None,
     Confirmed,
     Stage,
@@ -58,7 +58,7 @@
 
 impl RolloutEntry {
     pub(super) fn new(
-        note: &RolloutNote,
+        note: &RolloutRecord,
         elapsed: Duration,
         confirmed: Duration,
         now: Instant,
@@ -79,11 +79,11 @@
 
     pub(super) fn merge(
         &mut self,
-        note: &RolloutNote,
+        note: &RolloutRecord,
         elapsed: Duration,
         confirmed: Duration,
         now: Instant,
-    ) -> NoteNews {
+    ) -> RecordUpdate {
         if note.supersedes(&self.note) {
             let is_other = !note.is_same_order(&self.note);
             if is_other {
@@ -99,14 +99,14 @@
             self.note = note.clone();
             self.confirmed = self.confirmed.max(confirmed);
             self.heard = now;
-            return NoteNews::Stage;
+            return RecordUpdate::Stage;
         }
         let is_same = note.is_same_order(&self.note) && note.step == self.note.step;
         if is_same && confirmed > self.confirmed + CONFIRMED_ANEW {
             self.confirmed = confirmed;
             self.heard = now;
-            return NoteNews::Confirmed;
+            return RecordUpdate::Confirmed;
         }
-        NoteNews::None
+        RecordUpdate::None
     }
 }
--- a/crates/mesh/src/rollouts/mod.rs
+++ b/crates/mesh/src/rollouts/mod.rs
@@ -19,11 +19,13 @@
 use std::time::Duration;
 
 use filbert_policy::clock::Clock;
-use filbert_policy::rollout::note::{OrderId, RolloutNote, RolloutStage, StageReason, VersionLane};
+use filbert_policy::rollout::note::{
+    OrderId, RolloutRecord, RolloutStage, StageReason, VersionPreference,
+};
 use tokio::sync::Notify;
 
 use crate::metrics::MeshMetrics;
-use entry::NoteNews;
+use entry::RecordUpdate;
 pub use entry::RolloutEntry;
 use row::RolloutRow;
 use tally::{GateTally, HeardTallies};
@@ -48,7 +50,7 @@
     /// Wakes whoever works only while roll-outs run.
     has_news: Notify,
     /// Orders that wait until the rows were read.
-    waiting: RefCell<BTreeMap<String, RolloutNote>>,
+    waiting: RefCell<BTreeMap<String, RolloutRecord>>,
     /// Whether the rows were read since this daemon started, and since the store
     /// last came back from an older copy.
     has_read_rows: Cell<bool>,
@@ -95,14 +97,16 @@
     /// The targets that the call `id` to `service` may go to; `None` without a
     /// roll-out.
     #[must_use]
-    pub fn lane(&self, service: &str, id: &str) -> Option<CallLane> {
+    pub fn version_preference(&self, service: &str, id: &str) -> Option<CallPreference> {
         if !self.is_used.get() {
             return None;
         }
         let entries = self.entries.borrow();
         let entry = entries.get(service)?;
-        Some(CallLane {
-            lane: entry.note.lane(id, entry.is_fresh(self.clock.now())),
+        Some(CallPreference {
+            version_preference: entry
+                .note
+                .version_preference(id, entry.is_fresh(self.clock.now())),
             to: entry.note.to.clone(),
         })
     }
@@ -174,7 +178,7 @@
     ///
     /// Guards against an order that is begun again: it lies in the store for
     /// ever, also after its end. Until the rows of roll-outs were read it waits.
-    pub fn take_order(&self, order: RolloutNote) {
+    pub fn take_order(&self, order: RolloutRecord) {
         if !self.has_read_rows.get() {
             let service = order.service.clone();
             self.waiting.borrow_mut().insert(service, order);
@@ -183,7 +187,7 @@
         if let Some(entry) = self.entry(&order.service) {
             if entry.note.is_same_order(&order) {
                 // Read again, or written again after the store came back.
-                let rebound = RolloutNote {
+                let rebound = RolloutRecord {
                     order: entry.note.order.max(order.order),
                     ..entry.note.clone()
                 };
@@ -265,7 +269,7 @@
 
     /// Takes a note, told `elapsed` after its order and confirmed `confirmed`
     /// after it; what is news is told on.
-    pub fn merge(&self, note: &RolloutNote, elapsed: Duration, confirmed: Duration, from: &str) {
+    pub fn merge(&self, note: &RolloutRecord, elapsed: Duration, confirmed: Duration, from: &str) {
         self.is_used.set(true);
         let now = self.clock.now();
         let is_news = {
@@ -275,19 +279,19 @@
             } else {
                 let entry = RolloutEntry::new(note, elapsed, confirmed, now);
                 entries.insert(note.service.clone(), entry);
-                NoteNews::Stage
+                RecordUpdate::Stage
             }
         };
         match is_news {
-            NoteNews::None => return,
-            NoteNews::Confirmed => {}
-            NoteNews::Stage => self.say_stage(note, from),
+            RecordUpdate::None => return,
+            RecordUpdate::Confirmed => {}
+            RecordUpdate::Stage => self.say_stage(note, from),
         }
         self.untold.borrow_mut().push(note.service.clone());
         self.has_untold.notify_one();
     }
 
-    fn say_stage(&self, note: &RolloutNote, from: &str) {
+    fn say_stage(&self, note: &RolloutRecord, from: &str) {
         log::info!(
             "event=rollout_stage service={} to={} order={}.{} step={} stage={:?} reason={:?} decided_by={} written={} canaries={:?} from={from}",
             note.service,
@@ -337,7 +341,7 @@
     }
 
     /// Notes what a verdict rests on.
-    pub fn note_evidence(&self, service: &str, evidence: String) {
+    pub fn set_evidence(&self, service: &str, evidence: String) {
         if let Some(entry) = self.entries.borrow_mut().get_mut(service) {
             entry.evidence = evidence;
         }
@@ -371,9 +375,9 @@
 
 /// The targets that one call may go to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CallLane {
+pub struct CallPreference {
     /// Which.
-    pub lane: VersionLane,
+    pub version_preference: VersionPreference,
     /// The new version.
     pub to: String,
 }
--- a/crates/mesh/src/rollouts/record.rs
+++ b/crates/mesh/src/rollouts/record.rs
@@ -10,7 +10,7 @@
 
 use filbert_platform::rollouts::{self, RolloutState};
 use filbert_platform::store::{RowCondition, RowEdit, StoreRow, WriteEnd};
-use filbert_policy::rollout::note::{OrderId, RolloutNote, RolloutStage};
+use filbert_policy::rollout::note::{OrderId, RolloutRecord, RolloutStage};
 use filbert_policy::store_asking::pause_after;
 use rand::Rng;
 
@@ -33,7 +33,7 @@
             era: self.store.era(),
             version: row.version,
         };
-        let note = RolloutNote::ordered(&order.service, &order.to, order.allowed, id);
+        let note = RolloutRecord::ordered(&order.service, &order.to, order.allowed, id);
         self.rollouts.take_order(note);
     }
 
@@ -61,7 +61,7 @@
         }
         for service in shared.rollouts.services() {
             let due = shared.rollouts.entry(&service).and_then(|entry| {
-                let note = note_to_write(&shared, &entry)?;
+                let note = record_to_write(&shared, &entry)?;
                 Some((entry, note))
             });
             let Some((entry, note)) = due else {
@@ -80,11 +80,11 @@
 }
 
 /// What is to be written of a roll-out, if anything is.
-fn note_to_write(shared: &MeshShared, entry: &RolloutEntry) -> Option<RolloutNote> {
+fn record_to_write(shared: &MeshShared, entry: &RolloutEntry) -> Option<RolloutRecord> {
     let note = &entry.note;
     if note.stage.is_final() {
         let is_due = !note.is_written || !entry.is_recorded;
-        let written = RolloutNote {
+        let written = RolloutRecord {
             is_written: true,
             ..note.clone()
         };
@@ -105,7 +105,7 @@
 }
 
 /// Writes `note`; false when the store did not say what became of it.
-async fn write(shared: &MeshShared, entry: &RolloutEntry, note: RolloutNote) -> bool {
+async fn write(shared: &MeshShared, entry: &RolloutEntry, note: RolloutRecord) -> bool {
     let era = shared.store.era();
     let now = shared.clock.now();
     let elapsed = now.saturating_duration_since(entry.ordered);
--- a/crates/mesh/src/rollouts/row.rs
+++ b/crates/mesh/src/rollouts/row.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use filbert_platform::store::StoreRow;
-use filbert_policy::rollout::note::RolloutNote;
+use filbert_policy::rollout::note::RolloutRecord;
 use serde::{Deserialize, Serialize};
 
 use crate::row_value;
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutRow {
     /// The note.
-    pub note: RolloutNote,
+    pub note: RolloutRecord,
     /// The store's clock at the order.
     pub ordered_at: Duration,
     /// What a verdict rested on, in words.
--- a/crates/policy/src/rollout/judge.rs
+++ b/crates/policy/src/rollout/judge.rs
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetCounts<'a> {
     /// Names the start of the gate.
-    pub gate: &'a str,
+    pub target_id: &'a str,
     /// The target's availability zone.
     pub zone: &'a str,
     /// Its side.
@@ -74,7 +74,7 @@
     /// The kind of call that shows it; `None` for all together.
     pub kind: Option<String>,
     /// Calls of the new version that ended.
-    pub calls: CallCounts,
+    pub new_calls: CallCounts,
     /// The same of the old version.
     pub old_calls: CallCounts,
     /// The span over which that evidence was seen.
@@ -109,7 +109,7 @@
     /// Whether the version is condemned.
     #[must_use]
     pub fn is_bad(&self) -> bool {
-        self.evidence >= BAD_EVIDENCE && self.calls.bad >= LEAST_BAD
+        self.evidence >= BAD_EVIDENCE && self.new_calls.bad >= LEAST_BAD
     }
 
     /// Whether nothing speaks against it.
@@ -120,14 +120,14 @@
 
     /// Calls that it rests on.
     #[must_use]
-    pub fn calls(&self) -> u64 {
-        self.calls.ended
+    pub fn new_call_count(&self) -> u64 {
+        self.new_calls.ended
     }
 
     /// Calls of both versions together.
     #[must_use]
     pub fn all_calls(&self) -> u64 {
-        self.calls.ended + self.old_calls.ended
+        self.new_calls.ended + self.old_calls.ended
     }
 
     /// Calls a second to the service.
@@ -146,14 +146,14 @@
 
 /// Follows the counters of one roll-out.
 #[derive(Clone, Debug, Default)]
-pub struct VersionJudge {
+pub struct CanaryJudge {
     /// Counters at moments that lie ever farther apart, oldest first.
     snapshots: Vec<(Instant, Snapshot)>,
 }
 
-impl VersionJudge {
+impl CanaryJudge {
     /// Takes the counters as they are at `now`, and says what they show.
-    pub fn look(&mut self, targets: &[TargetCounts<'_>], now: Instant) -> Verdict {
+    pub fn evaluate(&mut self, targets: &[TargetCounts<'_>], now: Instant) -> Verdict {
         let mut verdict = Verdict::default();
         let mut is_first = true;
         for (at, before) in &self.snapshots {
@@ -170,7 +170,7 @@
         if let Some((began, first)) = self.snapshots.first() {
             verdict.watched = now.saturating_duration_since(*began);
             let span = SpanCounts::new(targets, first);
-            verdict.calls = span.total(VersionSide::New);
+            verdict.new_calls = span.total(VersionSide::New);
             verdict.old_calls = span.total(VersionSide::Old);
         }
         self.snapshots.push((now, snapshot_of(targets)));
@@ -198,7 +198,7 @@
     let mut snapshot = Snapshot::new();
     for target in targets {
         for (kind, counts) in &target.kinds {
-            snapshot.insert((target.gate.to_owned(), (*kind).to_owned()), *counts);
+            snapshot.insert((target.target_id.to_owned(), (*kind).to_owned()), *counts);
         }
     }
     snapshot
@@ -220,7 +220,7 @@
     fn new(targets: &[TargetCounts<'a>], before: &Snapshot) -> SpanCounts<'a> {
         let span_of = |target: &TargetCounts<'a>| {
             let since = |kind: &str, counts: CallCounts| {
-                let key = (target.gate.to_owned(), kind.to_owned());
+                let key = (target.target_id.to_owned(), kind.to_owned());
                 counts.since(before.get(&key).copied().unwrap_or_default())
             };
             TargetSpan {
--- a/crates/policy/src/rollout/note.rs
+++ b/crates/policy/src/rollout/note.rs
@@ -65,7 +65,7 @@
 
 /// What daemons hold true of one service's roll-out.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RolloutNote {
+pub struct RolloutRecord {
     /// The service.
     pub service: String,
     /// The version that its calls are to move to.
@@ -88,11 +88,11 @@
     pub canaries: Vec<String>,
 }
 
-impl RolloutNote {
+impl RolloutRecord {
     /// The note of an order that just came.
     #[must_use]
-    pub fn ordered(service: &str, to: &str, allowed: Duration, order: OrderId) -> RolloutNote {
-        RolloutNote {
+    pub fn ordered(service: &str, to: &str, allowed: Duration, order: OrderId) -> RolloutRecord {
+        RolloutRecord {
             service: service.to_owned(),
             to: to.to_owned(),
             allowed,
@@ -108,8 +108,13 @@
 
     /// The note of the next stage.
     #[must_use]
-    pub fn next(&self, stage: RolloutStage, reason: StageReason, decided_by: &str) -> RolloutNote {
-        RolloutNote {
+    pub fn next(
+        &self,
+        stage: RolloutStage,
+        reason: StageReason,
+        decided_by: &str,
+    ) -> RolloutRecord {
+        RolloutRecord {
             step: self.step + 1,
             stage,
             reason,
@@ -121,7 +126,7 @@
     /// Whether both are of one order: by its id, or of the same text, given
     /// again after the store came back from an older copy.
     #[must_use]
-    pub fn is_same_order(&self, other: &RolloutNote) -> bool {
+    pub fn is_same_order(&self, other: &RolloutRecord) -> bool {
         self.order == other.order || self.is_repeated_by(&other.to, other.allowed, other.order)
     }
 
@@ -137,7 +142,7 @@
     /// then the further stage. Two that are decided at once may differ in what
     /// is tried only: by the deciders' names, so that all daemons hold the same.
     #[must_use]
-    pub fn supersedes(&self, other: &RolloutNote) -> bool {
+    pub fn supersedes(&self, other: &RolloutRecord) -> bool {
         if !self.is_same_order(other) {
             return self.order > other.order;
         }
@@ -158,13 +163,13 @@
     /// `is_fresh` says whether the note was confirmed of late; a daemon that is
     /// cut off sends nothing to a version on trial.
     #[must_use]
-    pub fn lane(&self, call_id: &str, is_fresh: bool) -> VersionLane {
+    pub fn version_preference(&self, call_id: &str, is_fresh: bool) -> VersionPreference {
         match self.stage {
             RolloutStage::Trial { per_mille } if is_fresh && draw(call_id) < per_mille => {
-                VersionLane::NewFirst
+                VersionPreference::PreferNew
             }
-            RolloutStage::Trial { .. } | RolloutStage::RolledBack => VersionLane::OldOnly,
-            RolloutStage::Moved | RolloutStage::Completed => VersionLane::NewOnly,
+            RolloutStage::Trial { .. } | RolloutStage::RolledBack => VersionPreference::OldOnly,
+            RolloutStage::Moved | RolloutStage::Completed => VersionPreference::NewOnly,
         }
     }
 
@@ -188,9 +193,9 @@
 
 /// Targets that a call may go to, by their version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum VersionLane {
+pub enum VersionPreference {
     /// Those of the new version; of the old one where none of them has room.
-    NewFirst,
+    PreferNew,
     /// Not those of the new version.
     OldOnly,
     /// Those of the new version.
--- a/crates/policy/src/rollout/schedule.rs
+++ b/crates/policy/src/rollout/schedule.rs
@@ -14,7 +14,7 @@
 
 /// What a roll-out may risk and how its calls are spent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ExposurePlan {
+pub struct ExposureBudget {
     /// Share of the service's calls, from the order to its deadline, that a bad
     /// version may get.
     pub share: f64,
@@ -23,16 +23,16 @@
     /// Longest time that a call at an old target takes to end.
     pub longest_call: Duration,
     /// Where trial calls go.
-    pub spread: TrialSpread,
+    pub placement: TrialPlacement,
 }
 
 /// Where calls on trial go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TrialSpread {
+pub enum TrialPlacement {
     /// To as many new targets as are then about as full as the old ones.
-    FewFull,
+    FewTargets,
     /// To all new targets.
-    AllAlike,
+    AllTargets,
 }
 
 /// Part of the risked share that trial calls take. What is left covers the
@@ -79,7 +79,7 @@
     /// How far it is.
     pub stage: RolloutStage,
     /// Time since that stage began.
-    pub stage_for: Duration,
+    pub stage_age: Duration,
     /// Time since the order.
     pub elapsed: Duration,
     /// Time allowed from the order on.
@@ -87,7 +87,7 @@
     /// Open targets of the new version.
     pub new_targets: usize,
     /// Time since their number last changed.
-    pub new_steady_for: Duration,
+    pub new_targets_stable_for: Duration,
     /// Open targets of the old version.
     pub old_targets: usize,
     /// What the answers say.
@@ -101,17 +101,17 @@
 
 /// How a trial's calls are spent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TrialTerms {
+pub struct TrialSize {
     /// Thousandths of the calls.
     pub per_mille: u16,
     /// New targets that they go to.
     pub canaries: usize,
 }
 
-impl ExposurePlan {
+impl ExposureBudget {
     /// How the calls of a trial are spent that begins with `view`.
     #[must_use]
-    pub fn trial(&self, view: &RolloutView) -> TrialTerms {
+    pub fn trial_size(&self, view: &RolloutView) -> TrialSize {
         let (new, old) = (view.new_targets, view.old_targets);
         let trial_time = self.move_at(view.allowed).saturating_sub(view.elapsed);
         let expected = (view.verdict.rate() * trial_time.as_secs_f64()).max(1.0);
@@ -119,11 +119,11 @@
         let per_mille = whole_of((share * 1_000.0).min(MOST_PER_MILLE));
         let per_mille = u16::try_from(per_mille).unwrap_or(u16::MAX);
         let alike = usize::try_from(whole_of((share * count_of(old)).round())).unwrap_or(new);
-        let canaries = match self.spread {
-            TrialSpread::FewFull => alike.max(LEAST_CANARIES).min(new),
-            TrialSpread::AllAlike => new,
+        let canaries = match self.placement {
+            TrialPlacement::FewTargets => alike.max(LEAST_CANARIES).min(new),
+            TrialPlacement::AllTargets => new,
         };
-        TrialTerms {
+        TrialSize {
             per_mille: per_mille.max(1),
             canaries,
         }
@@ -160,10 +160,10 @@
         if view.elapsed + GIVE_UP_BEFORE >= view.allowed {
             return Some((RolloutStage::RolledBack, StageReason::NoTargets));
         }
-        let is_all_here =
-            view.new_steady_for >= STEADY_FOR || view.elapsed >= view.allowed.mul_f64(LATEST_BEGIN);
+        let is_all_here = view.new_targets_stable_for >= STEADY_FOR
+            || view.elapsed >= view.allowed.mul_f64(LATEST_BEGIN);
         if view.new_targets > 0 && is_all_here {
-            let terms = self.trial(view);
+            let terms = self.trial_size(view);
             let stage = RolloutStage::Trial {
                 per_mille: terms.per_mille,
             };
@@ -179,7 +179,7 @@
             return Some((RolloutStage::RolledBack, StageReason::TimeUp));
         }
         if per_mille >= RAMP_PER_MILLE {
-            let is_ripe = view.stage_for >= RAMP && view.elapsed >= move_at;
+            let is_ripe = view.stage_age >= RAMP && view.elapsed >= move_at;
             return (is_ripe && looks_good)
                 .then_some((RolloutStage::Moved, StageReason::LooksGood));
         }
@@ -198,7 +198,7 @@
     let is_unused = verdict.all_calls() < FEW_CALLS;
     let is_quiet = verdict.all_calls() < QUIET_CALLS;
     let least = if is_quiet { FEW_CALLS } else { LEAST_CALLS };
-    is_unused || verdict.calls() >= least
+    is_unused || verdict.new_call_count() >= least
 }
 
 /// Whether the old targets may end.
@@ -208,7 +208,7 @@
         return completed(StageReason::OldUnheard);
     }
     let is_idle = view.old_at_work == 0 && view.old_unheard == 0;
-    if view.stage_for >= MOVE_SETTLES && is_idle {
+    if view.stage_age >= MOVE_SETTLES && is_idle {
         return completed(StageReason::OldIdle);
     }
     None
--- a/crates/policy/tests/rollout_cases.rs
+++ b/crates/policy/tests/rollout_cases.rs
@@ -3,8 +3,10 @@
 use std::time::Duration;
 
 use filbert_policy::rollout::judge::{CallCounts, Verdict};
-use filbert_policy::rollout::note::{OrderId, RolloutNote, RolloutStage, StageReason, VersionLane};
-use filbert_policy::rollout::schedule::{ExposurePlan, RolloutView, TrialSpread};
+use filbert_policy::rollout::note::{
+    OrderId, RolloutRecord, RolloutStage, StageReason, VersionPreference,
+};
+use filbert_policy::rollout::schedule::{ExposureBudget, RolloutView, TrialPlacement};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -13,12 +15,12 @@
 const RAMP: RolloutStage = RolloutStage::Trial { per_mille: 250 };
 const WAITING: RolloutStage = RolloutStage::Trial { per_mille: 0 };
 
-fn plan() -> ExposurePlan {
-    ExposurePlan {
+fn budget() -> ExposureBudget {
+    ExposureBudget {
         share: 0.1,
         slack: 50.0,
         longest_call: Duration::from_secs(3),
-        spread: TrialSpread::FewFull,
+        placement: TrialPlacement::FewTargets,
     }
 }
 
@@ -26,7 +28,7 @@
     let counts = |ended| CallCounts { ended, bad: 0 };
     Verdict {
         evidence: -5.0,
-        calls: counts(500),
+        new_calls: counts(500),
         old_calls: counts(10_000),
         watched: Duration::from_secs(8),
         ..Verdict::default()
@@ -36,7 +38,7 @@
 fn bad() -> Verdict {
     Verdict {
         evidence: 20.0,
-        calls: CallCounts { ended: 60, bad: 30 },
+        new_calls: CallCounts { ended: 60, bad: 30 },
         ..clear()
     }
 }
@@ -45,11 +47,11 @@
 fn view(stage: RolloutStage, elapsed_ms: u64) -> RolloutView {
     RolloutView {
         stage,
-        stage_for: Duration::from_secs(1),
+        stage_age: Duration::from_secs(1),
         elapsed: Duration::from_millis(elapsed_ms),
         allowed: ALLOWED,
         new_targets: 20,
-        new_steady_for: Duration::from_secs(1),
+        new_targets_stable_for: Duration::from_secs(1),
         old_targets: 20,
         verdict: clear(),
         old_at_work: 0,
@@ -65,7 +67,7 @@
 
 fn check(cases: &[StageCase]) {
     for StageCase { what, view, next } in cases {
-        assert_eq!(plan().next_stage(view), *next, "{what}");
+        assert_eq!(budget().next_stage(view), *next, "{what}");
     }
 }
 
@@ -83,7 +85,7 @@
         StageCase {
             what: "targets still come",
             view: RolloutView {
-                new_steady_for: Duration::from_millis(100),
+                new_targets_stable_for: Duration::from_millis(100),
                 ..view(WAITING, 2_000)
             },
             next: None,
@@ -176,7 +178,7 @@
         },
         StageCase {
             what: "calls on their way to old targets",
-            view: moved(|view| view.stage_for = Duration::from_millis(300)),
+            view: moved(|view| view.stage_age = Duration::from_millis(300)),
             next: None,
         },
         StageCase {
@@ -210,33 +212,36 @@
     let mut view = view(WAITING, 2_000);
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     let ended = (rate * 8.0) as u64;
-    view.verdict.calls = CallCounts::default();
+    view.verdict.new_calls = CallCounts::default();
     view.verdict.old_calls = CallCounts { ended, bad: 0 };
-    let plan = plan();
-    let terms = plan.trial(&view);
-    let trial = plan.move_at(ALLOWED).as_secs_f64() - 2.0;
+    let budget = budget();
+    let terms = budget.trial_size(&view);
+    let trial = budget.move_at(ALLOWED).as_secs_f64() - 2.0;
     let on_trial = rate * trial * f64::from(terms.per_mille) / 1_000.0;
     let all = rate * ALLOWED.as_secs_f64();
     let late = rate * (0.7 * 0.25 + 0.3);
-    assert!(on_trial + late < all * plan.share + plan.slack, "{terms:?}");
+    assert!(
+        on_trial + late < all * budget.share + budget.slack,
+        "{terms:?}"
+    );
     assert!(terms.canaries >= 3);
 }
 
-fn note(order: (u64, u64), step: u32, stage: RolloutStage, is_written: bool) -> RolloutNote {
+fn note(order: (u64, u64), step: u32, stage: RolloutStage, is_written: bool) -> RolloutRecord {
     let order = OrderId {
         era: order.0,
         version: order.1,
     };
-    RolloutNote {
+    RolloutRecord {
         step,
         stage,
         is_written,
-        ..RolloutNote::ordered("quotes", "v2", ALLOWED, order)
+        ..RolloutRecord::ordered("quotes", "v2", ALLOWED, order)
     }
 }
 
-fn tried_by(decider: &str) -> RolloutNote {
-    RolloutNote {
+fn tried_by(decider: &str) -> RolloutRecord {
+    RolloutRecord {
         decided_by: decider.to_owned(),
         canaries: vec![format!("tried-by-{decider}")],
         ..note((0, 5), 1, TRIAL, false)
@@ -250,7 +255,7 @@
 #[case::a_later_order(note((0, 9), 0, WAITING, false), note((0, 5), 4, RolloutStage::RolledBack, true))]
 #[case::the_end_of_an_order_written_again(note((0, 9), 4, RolloutStage::Completed, true), note((1, 3), 0, WAITING, false))]
 #[case::of_two_deciders_at_once(tried_by("host-2"), tried_by("host-1"))]
-fn one_note_wins(#[case] winner: RolloutNote, #[case] loser: RolloutNote) {
+fn one_note_wins(#[case] winner: RolloutRecord, #[case] loser: RolloutRecord) {
     assert!(winner.supersedes(&loser));
     assert!(!loser.supersedes(&winner));
 }
@@ -259,11 +264,14 @@
 fn lanes_and_gates_keep_to_the_stage() {
     let trial = note((0, 5), 1, RolloutStage::Trial { per_mille: 100 }, false);
     let tried = (0..10_000)
-        .filter(|call| trial.lane(&format!("call-{call}"), true) == VersionLane::NewFirst)
+        .filter(|call| {
+            trial.version_preference(&format!("call-{call}"), true) == VersionPreference::PreferNew
+        })
         .count();
     assert!((900..1_100).contains(&tried), "{tried} of 10,000");
-    let cut_off =
-        (0..1_000).all(|call| trial.lane(&format!("call-{call}"), false) == VersionLane::OldOnly);
+    let cut_off = (0..1_000).all(|call| {
+        trial.version_preference(&format!("call-{call}"), false) == VersionPreference::OldOnly
+    });
     assert!(cut_off, "a daemon that is cut off tried the new version");
     let cases = [
         (trial.stage, true, [true, true]),
@@ -280,7 +288,7 @@
     }
 }
 
-fn any_note() -> impl Strategy<Value = RolloutNote> {
+fn any_note() -> impl Strategy<Value = RolloutRecord> {
     let stages = prop_oneof![
         Just(WAITING),
         Just(TRIAL),
@@ -291,7 +299,7 @@
     ];
     let deciders = prop_oneof![Just("host-1"), Just("host-2")];
     (0..3_u64, 0..5_u32, stages, any::<bool>(), deciders).prop_map(
-        |(version, step, stage, is_written, decider)| RolloutNote {
+        |(version, step, stage, is_written, decider)| RolloutRecord {
             decided_by: decider.to_owned(),
             canaries: vec![format!("tried-by-{decider}")],
             ..note((0, version), step, stage, is_written && stage.is_final())
@@ -307,7 +315,7 @@
         notes in prop::collection::vec(any_note(), 1..6),
         turn in 0..6_usize,
     ) {
-        let merged = |notes: &[RolloutNote]| {
+        let merged = |notes: &[RolloutRecord]| {
             let mut best = notes[0].clone();
             for note in notes {
                 if note.supersedes(&best) {
--- a/crates/policy/tests/rollout_replay.rs
+++ b/crates/policy/tests/rollout_replay.rs
@@ -3,9 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use filbert_policy::rollout::judge::{
-    CallCounts, TargetCounts, Verdict, VersionJudge, VersionSide,
-};
+use filbert_policy::rollout::judge::{CallCounts, CanaryJudge, TargetCounts, Verdict, VersionSide};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
@@ -71,7 +69,7 @@
 
     fn read(&self) -> Vec<TargetCounts<'_>> {
         let read_one = |target: usize| TargetCounts {
-            gate: self.names[target].as_str(),
+            target_id: self.names[target].as_str(),
             zone: ZONES[target % ZONES.len()],
             side: if target < self.old {
                 VersionSide::Old
@@ -93,13 +91,13 @@
 fn play(old: &[Illness], new: &[Illness], calls: usize, seed: u64) -> (Option<usize>, Verdict) {
     let mut fleet = Fleet::new(old, new, calls);
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut judge = VersionJudge::default();
+    let mut judge = CanaryJudge::default();
     let start = Instant::now();
-    let mut last = judge.look(&fleet.read(), start);
+    let mut last = judge.evaluate(&fleet.read(), start);
     for look in 0..LOOKS {
         fleet.serve(look, &mut rng);
         let now = start + LOOK * (u32::try_from(look).unwrap_or(0) + 1);
-        last = judge.look(&fleet.read(), now);
+        last = judge.evaluate(&fleet.read(), now);
         if last.is_bad() {
             return (Some(look), last);
         }
