--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -15,7 +15,7 @@
 use filbert_policy::placement::{choose, CallShape, CrossingCost, TargetView};
 use filbert_policy::quarantine::{CallRecord, QuarantineTable, TargetCrash};
 use filbert_policy::rollout::judge::{CallCounts, CanaryJudge, TargetCounts, VersionSide};
-use filbert_policy::rollout::note::{OrderId, RolloutRecord, RolloutStage};
+use filbert_policy::rollout::record::{OrderId, RolloutRecord, RolloutStage};
 use filbert_policy::routing::{
     ClientLimits, MeshVersion, RouteIndex, RouteKind, RoutePart, RouteRule,
 };
@@ -225,12 +225,12 @@
         began.elapsed().as_secs_f64() * 1e9 / f64::from(looks)
     );
     let order = OrderId { era: 0, version: 5 };
-    let note = RolloutRecord {
+    let record = RolloutRecord {
         stage: RolloutStage::Trial { per_mille: 60 },
         ..RolloutRecord::ordered("quotes", "v2", Duration::from_secs(15), order)
     };
     measure("lane of a call during a trial", |_| {
-        black_box(note.version_preference("9c41d07be2a35f68", true));
+        black_box(record.version_preference("9c41d07be2a35f68", true));
     });
 }
 
--- a/crates/ctl/src/cmd/rollout.rs
+++ b/crates/ctl/src/cmd/rollout.rs
@@ -5,7 +5,7 @@
 use filbert_mesh::rollouts::stage_label;
 use filbert_mesh::rows::HOSTS_TABLE;
 use filbert_platform::store::StoreClient;
-use filbert_policy::rollout::note::RolloutStage;
+use filbert_policy::rollout::record::RolloutStage;
 use serde::Serialize;
 
 use crate::cli::ReadFormat;
@@ -36,20 +36,20 @@
 impl ShownRollout {
     fn of(row: RolloutRow) -> ShownRollout {
         const ALL: u16 = 1_000;
-        let note = row.note;
+        let record = row.record;
         ShownRollout {
-            per_mille: match note.stage {
+            per_mille: match record.stage {
                 RolloutStage::Trial { per_mille } => per_mille,
                 RolloutStage::Moved | RolloutStage::Completed => ALL,
                 RolloutStage::RolledBack => 0,
             },
-            stage: stage_label(note.stage),
-            reason: format!("{:?}", note.reason),
-            allowed_ms: note.allowed.as_millis(),
-            service: note.service,
-            to: note.to,
-            canaries: note.canaries,
-            decided_by: note.decided_by,
+            stage: stage_label(record.stage),
+            reason: format!("{:?}", record.reason),
+            allowed_ms: record.allowed.as_millis(),
+            service: record.service,
+            to: record.to,
+            canaries: record.canaries,
+            decided_by: record.decided_by,
             evidence: row.evidence,
         }
     }
--- a/crates/mesh/src/calls/pick.rs
+++ b/crates/mesh/src/calls/pick.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use filbert_policy::placement::{assumed_occupancy, choose, CallShape, CrossingCost, TargetView};
-use filbert_policy::rollout::note::VersionPreference;
+use filbert_policy::rollout::record::VersionPreference;
 use filbert_policy::routing::RouteRule;
 use filbert_policy::run_times::RunTime;
 
--- a/crates/mesh/src/rollouts/decide.rs
+++ b/crates/mesh/src/rollouts/decide.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use filbert_policy::rollout::judge::{CallCounts, CanaryJudge, TargetCounts, Verdict, VersionSide};
-use filbert_policy::rollout::note::{RolloutStage, StageReason};
+use filbert_policy::rollout::record::{RolloutStage, StageReason};
 use filbert_policy::rollout::schedule::{ExposureBudget, RolloutView, TrialPlacement};
 use twox_hash::XxHash64;
 
@@ -81,7 +81,7 @@
 }
 
 fn evaluate(shared: &Rc<MeshShared>, rollout: &mut FollowedRollout, entry: &RolloutEntry) {
-    let service = entry.note.service.as_str();
+    let service = entry.record.service.as_str();
     // Nothing begins before the store has taken this order: it may have been
     // seen to its end before this daemon started.
     if !entry.is_recorded {
@@ -92,7 +92,7 @@
     let tallies = shared.rollouts.heard.of_service(service);
     let verdict = rollout
         .judge
-        .evaluate(&counts_of(&tallies, &entry.note.to), now);
+        .evaluate(&counts_of(&tallies, &entry.record.to), now);
     shared
         .rollouts
         .set_evidence(service, evidence_line(&verdict));
@@ -110,7 +110,7 @@
         Some((stage, reason)) => {
             log::info!(
                 "event=rollout_decided service={service} to={} stage={stage:?} reason={reason:?} elapsed_ms={} new_targets={} old_targets={} old_at_work={} old_unheard={} {}",
-                entry.note.to,
+                entry.record.to,
                 view.elapsed.as_millis(),
                 view.new_targets,
                 view.old_targets,
@@ -121,7 +121,7 @@
             let begins = reason == StageReason::TargetsReady;
             let canaries = begins.then(|| {
                 let terms = budget.trial_size(&view);
-                choose_canaries(&tallies, &entry.note.to, terms.canaries)
+                choose_canaries(&tallies, &entry.record.to, terms.canaries)
             });
             let terms = DecisionTerms {
                 decided_by: shared.settings.borrow().id.clone(),
@@ -188,13 +188,13 @@
     verdict: &Verdict,
     now: Instant,
 ) -> RolloutView {
-    let to = entry.note.to.as_str();
+    let to = entry.record.to.as_str();
     let is_heard = |heard: &&HeardTally| now < heard.at + TALLY_HOLDS;
     let open = |side| {
         let is_open = |heard: &&HeardTally| heard.tally.is_open && side_of(heard, to) == side;
         tallies.iter().filter(is_heard).filter(is_open).count()
     };
-    let known = (entry.note.order, entry.note.step);
+    let known = (entry.record.order, entry.record.step);
     let old = tallies
         .iter()
         .filter(|heard| side_of(heard, to) == VersionSide::Old);
@@ -208,10 +208,10 @@
         }
     }
     RolloutView {
-        stage: entry.note.stage,
+        stage: entry.record.stage,
         stage_age: now.saturating_duration_since(entry.stage_since),
         elapsed: now.saturating_duration_since(entry.ordered),
-        allowed: entry.note.allowed,
+        allowed: entry.record.allowed,
         new_targets: open(VersionSide::New),
         new_targets_stable_for: Duration::ZERO,
         old_targets: open(VersionSide::Old),
--- a/crates/mesh/src/rollouts/entry.rs
+++ b/crates/mesh/src/rollouts/entry.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use filbert_policy::rollout::note::{RolloutRecord, StageReason};
+use filbert_policy::rollout::record::{RolloutRecord, StageReason};
 
 /// Time without confirmation by a decider after which nothing goes to a version
 /// on trial: three missed confirmations.
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 pub struct RolloutEntry {
     /// The note that wins so far.
-    pub note: RolloutRecord,
+    pub record: RolloutRecord,
     /// When the order was given.
     pub ordered: Instant,
     /// When the stage began here.
@@ -41,7 +41,7 @@
     /// Whether it has not come to its end.
     #[must_use]
     pub fn is_live(&self) -> bool {
-        !self.note.stage.is_final()
+        !self.record.stage.is_final()
     }
 }
 
@@ -58,13 +58,13 @@
 
 impl RolloutEntry {
     pub(super) fn new(
-        note: &RolloutRecord,
+        record: &RolloutRecord,
         elapsed: Duration,
         confirmed: Duration,
         now: Instant,
     ) -> Self {
         RolloutEntry {
-            note: note.clone(),
+            record: record.clone(),
             ordered: now.checked_sub(elapsed).unwrap_or(now),
             stage_since: now,
             confirmed,
@@ -79,13 +79,13 @@
 
     pub(super) fn merge(
         &mut self,
-        note: &RolloutRecord,
+        record: &RolloutRecord,
         elapsed: Duration,
         confirmed: Duration,
         now: Instant,
     ) -> RecordUpdate {
-        if note.supersedes(&self.note) {
-            let is_other = !note.is_same_order(&self.note);
+        if record.supersedes(&self.record) {
+            let is_other = !record.is_same_order(&self.record);
             if is_other {
                 self.ordered = now.checked_sub(elapsed).unwrap_or(now);
                 self.confirmed = Duration::ZERO;
@@ -93,15 +93,15 @@
                 self.completes = None;
                 self.evidence.clear();
             }
-            if is_other || note.stage != self.note.stage {
+            if is_other || record.stage != self.record.stage {
                 self.stage_since = now;
             }
-            self.note = note.clone();
+            self.record = record.clone();
             self.confirmed = self.confirmed.max(confirmed);
             self.heard = now;
             return RecordUpdate::Stage;
         }
-        let is_same = note.is_same_order(&self.note) && note.step == self.note.step;
+        let is_same = record.is_same_order(&self.record) && record.step == self.record.step;
         if is_same && confirmed > self.confirmed + CONFIRMED_ANEW {
             self.confirmed = confirmed;
             self.heard = now;
--- a/crates/mesh/src/rollouts/mod.rs
+++ b/crates/mesh/src/rollouts/mod.rs
@@ -19,7 +19,7 @@
 use std::time::Duration;
 
 use filbert_policy::clock::Clock;
-use filbert_policy::rollout::note::{
+use filbert_policy::rollout::record::{
     OrderId, RolloutRecord, RolloutStage, StageReason, VersionPreference,
 };
 use tokio::sync::Notify;
@@ -105,9 +105,9 @@
         let entry = entries.get(service)?;
         Some(CallPreference {
             version_preference: entry
-                .note
+                .record
                 .version_preference(id, entry.is_fresh(self.clock.now())),
-            to: entry.note.to.clone(),
+            to: entry.record.to.clone(),
         })
     }
 
@@ -121,12 +121,13 @@
         let Some(entry) = entries.get(service) else {
             return true;
         };
-        let note = &entry.note;
-        let is_on_trial = software == note.to && matches!(note.stage, RolloutStage::Trial { .. });
+        let record = &entry.record;
+        let is_on_trial =
+            software == record.to && matches!(record.stage, RolloutStage::Trial { .. });
         let is_left_out = is_on_trial
-            && !note.canaries.is_empty()
-            && !note.canaries.iter().any(|canary| canary == host);
-        !is_left_out && note.admits(software, entry.is_fresh(self.clock.now()))
+            && !record.canaries.is_empty()
+            && !record.canaries.iter().any(|canary| canary == host);
+        !is_left_out && record.admits(software, entry.is_fresh(self.clock.now()))
     }
 
     /// Whether the runs of `service` are counted.
@@ -171,7 +172,8 @@
     pub fn canaries(&self) -> Vec<String> {
         let entries = self.entries.borrow();
         let live = entries.values().filter(|entry| entry.is_live());
-        live.flat_map(|entry| entry.note.canaries.clone()).collect()
+        live.flat_map(|entry| entry.record.canaries.clone())
+            .collect()
     }
 
     /// Takes an order that was read from the store.
@@ -185,11 +187,11 @@
             return;
         }
         if let Some(entry) = self.entry(&order.service) {
-            if entry.note.is_same_order(&order) {
+            if entry.record.is_same_order(&order) {
                 // Read again, or written again after the store came back.
                 let rebound = RolloutRecord {
-                    order: entry.note.order.max(order.order),
-                    ..entry.note.clone()
+                    order: entry.record.order.max(order.order),
+                    ..entry.record.clone()
                 };
                 let elapsed = self.clock.now().saturating_duration_since(entry.ordered);
                 self.merge(&rebound, elapsed, entry.confirmed, "order");
@@ -218,18 +220,18 @@
 
     /// Takes the row of a roll-out, as it stands in the store since `version`.
     pub fn take_row(&self, stored: &RolloutRow, version: u64, elapsed: Duration) {
-        let note = &stored.note;
-        self.merge(note, elapsed, Duration::ZERO, "store");
+        let record = &stored.record;
+        self.merge(record, elapsed, Duration::ZERO, "store");
         let mut entries = self.entries.borrow_mut();
-        let Some(entry) = entries.get_mut(&note.service) else {
+        let Some(entry) = entries.get_mut(&record.service) else {
             return;
         };
         entry.row_at = version;
         // An older copy may show a roll-out that has ended since as under way.
-        let is_behind = entry.note.stage.is_final() && !note.stage.is_final();
-        entry.is_recorded = entry.note.is_same_order(note) && !is_behind;
-        entry.recorded_step = note.step;
-        if note.stage.is_final() && !stored.evidence.is_empty() {
+        let is_behind = entry.record.stage.is_final() && !record.stage.is_final();
+        entry.is_recorded = entry.record.is_same_order(record) && !is_behind;
+        entry.recorded_step = record.step;
+        if record.stage.is_final() && !stored.evidence.is_empty() {
             entry.evidence.clone_from(&stored.evidence);
         }
         if !entry.is_recorded {
@@ -269,46 +271,53 @@
 
     /// Takes a note, told `elapsed` after its order and confirmed `confirmed`
     /// after it; what is news is told on.
-    pub fn merge(&self, note: &RolloutRecord, elapsed: Duration, confirmed: Duration, from: &str) {
+    pub fn merge(
+        &self,
+        record: &RolloutRecord,
+        elapsed: Duration,
+        confirmed: Duration,
+        from: &str,
+    ) {
         self.is_used.set(true);
         let now = self.clock.now();
         let is_news = {
             let mut entries = self.entries.borrow_mut();
-            if let Some(entry) = entries.get_mut(&note.service) {
-                entry.merge(note, elapsed, confirmed, now)
+            if let Some(entry) = entries.get_mut(&record.service) {
+                entry.merge(record, elapsed, confirmed, now)
             } else {
-                let entry = RolloutEntry::new(note, elapsed, confirmed, now);
-                entries.insert(note.service.clone(), entry);
+                let entry = RolloutEntry::new(record, elapsed, confirmed, now);
+                entries.insert(record.service.clone(), entry);
                 RecordUpdate::Stage
             }
         };
         match is_news {
             RecordUpdate::None => return,
             RecordUpdate::Confirmed => {}
-            RecordUpdate::Stage => self.say_stage(note, from),
+            RecordUpdate::Stage => self.say_stage(record, from),
         }
-        self.untold.borrow_mut().push(note.service.clone());
+        self.untold.borrow_mut().push(record.service.clone());
         self.has_untold.notify_one();
     }
 
-    fn say_stage(&self, note: &RolloutRecord, from: &str) {
+    fn say_stage(&self, record: &RolloutRecord, from: &str) {
         log::info!(
             "event=rollout_stage service={} to={} order={}.{} step={} stage={:?} reason={:?} decided_by={} written={} canaries={:?} from={from}",
-            note.service,
-            note.to,
-            note.order.era,
-            note.order.version,
-            note.step,
-            note.stage,
-            note.reason,
-            note.decided_by,
-            note.is_written,
-            note.canaries
+            record.service,
+            record.to,
+            record.order.era,
+            record.order.version,
+            record.step,
+            record.stage,
+            record.reason,
+            record.decided_by,
+            record.is_written,
+            record.canaries
         );
-        self.metrics.rollout(&note.service, stage_label(note.stage));
+        self.metrics
+            .rollout(&record.service, stage_label(record.stage));
         self.stage_changed.notify_one();
         self.has_news.notify_waiters();
-        if !note.is_written {
+        if !record.is_written {
             self.has_unwritten.notify_one();
         }
     }
@@ -324,19 +333,19 @@
         let Some(entry) = self.entry(service) else {
             return;
         };
-        let mut note = entry.note.next(stage, reason, &terms.decided_by);
+        let mut record = entry.record.next(stage, reason, &terms.decided_by);
         if let Some(canaries) = terms.canaries {
-            note.canaries = canaries;
+            record.canaries = canaries;
         }
         let elapsed = self.clock.now().saturating_duration_since(entry.ordered);
-        self.merge(&note, elapsed, elapsed, "here");
+        self.merge(&record, elapsed, elapsed, "here");
     }
 
     /// Confirms the stage of `service`: a decider holds to it.
     pub fn confirm(&self, service: &str) {
         if let Some(entry) = self.entry(service) {
             let elapsed = self.clock.now().saturating_duration_since(entry.ordered);
-            self.merge(&entry.note, elapsed, elapsed, "here");
+            self.merge(&entry.record, elapsed, elapsed, "here");
         }
     }
 
@@ -361,7 +370,7 @@
     #[must_use]
     pub fn known_step(&self, service: &str) -> Option<(OrderId, u32)> {
         let entry = self.entry(service)?;
-        Some((entry.note.order, entry.note.step))
+        Some((entry.record.order, entry.record.step))
     }
 }
 
--- a/crates/mesh/src/rollouts/news.rs
+++ b/crates/mesh/src/rollouts/news.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use filbert_policy::rollout::note::{OrderId, RolloutRecord};
+use filbert_policy::rollout::record::{OrderId, RolloutRecord};
 use serde::{Deserialize, Serialize};
 
 /// A note on its way, with ages in place of times: clocks differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutNews {
     /// The note.
-    pub note: RolloutRecord,
+    pub record: RolloutRecord,
     /// Time since the order.
     pub elapsed: Duration,
     /// Time from the order to the newest confirmation by a decider.
--- a/crates/mesh/src/rollouts/record.rs
+++ b/crates/mesh/src/rollouts/record.rs
@@ -10,7 +10,7 @@
 
 use filbert_platform::rollouts::{self, RolloutState};
 use filbert_platform::store::{RowCondition, RowEdit, StoreRow, WriteEnd};
-use filbert_policy::rollout::note::{OrderId, RolloutRecord, RolloutStage};
+use filbert_policy::rollout::record::{OrderId, RolloutRecord, RolloutStage};
 use filbert_policy::store_asking::pause_after;
 use rand::Rng;
 
@@ -33,8 +33,8 @@
             era: self.store.era(),
             version: row.version,
         };
-        let note = RolloutRecord::ordered(&order.service, &order.to, order.allowed, id);
-        self.rollouts.take_order(note);
+        let record = RolloutRecord::ordered(&order.service, &order.to, order.allowed, id);
+        self.rollouts.take_order(record);
     }
 
     /// Takes a row of the table of hosts that is a roll-out's.
@@ -61,13 +61,13 @@
         }
         for service in shared.rollouts.services() {
             let due = shared.rollouts.entry(&service).and_then(|entry| {
-                let note = record_to_write(&shared, &entry)?;
-                Some((entry, note))
+                let record = record_to_write(&shared, &entry)?;
+                Some((entry, record))
             });
-            let Some((entry, note)) = due else {
+            let Some((entry, record)) = due else {
                 continue;
             };
-            if write(&shared, &entry, note).await {
+            if write(&shared, &entry, record).await {
                 failures = 0;
                 continue;
             }
@@ -81,41 +81,41 @@
 
 /// What is to be written of a roll-out, if anything is.
 fn record_to_write(shared: &MeshShared, entry: &RolloutEntry) -> Option<RolloutRecord> {
-    let note = &entry.note;
-    if note.stage.is_final() {
-        let is_due = !note.is_written || !entry.is_recorded;
+    let record = &entry.record;
+    if record.stage.is_final() {
+        let is_due = !record.is_written || !entry.is_recorded;
         let written = RolloutRecord {
             is_written: true,
-            ..note.clone()
+            ..record.clone()
         };
         return is_due.then_some(written);
     }
     if !entry.is_recorded {
-        return Some(note.clone());
+        return Some(record.clone());
     }
     let host = shared.settings.borrow().id.clone();
     let Some(reason) = entry.completes else {
         // Operators see how far it is; whoever decided so writes it.
-        let is_news = note.step > entry.recorded_step && note.decided_by == host;
-        return is_news.then(|| note.clone());
+        let is_news = record.step > entry.recorded_step && record.decided_by == host;
+        return is_news.then(|| record.clone());
     };
-    let mut completed = note.next(RolloutStage::Completed, reason, &host);
+    let mut completed = record.next(RolloutStage::Completed, reason, &host);
     completed.is_written = true;
     Some(completed)
 }
 
-/// Writes `note`; false when the store did not say what became of it.
-async fn write(shared: &MeshShared, entry: &RolloutEntry, note: RolloutRecord) -> bool {
+/// Writes `record`; false when the store did not say what became of it.
+async fn write(shared: &MeshShared, entry: &RolloutEntry, record: RolloutRecord) -> bool {
     let era = shared.store.era();
     let now = shared.clock.now();
     let elapsed = now.saturating_duration_since(entry.ordered);
     let store_now = shared.store.clock_at(now).unwrap_or_default();
     let stored = RolloutRow {
-        note,
+        record,
         ordered_at: store_now.saturating_sub(elapsed),
         evidence: entry.evidence.clone(),
     };
-    let service = entry.note.service.as_str();
+    let service = entry.record.service.as_str();
     let (key, status_key) = (key_of(service), rollouts::status_key(service));
     let conditions = [RowCondition {
         table: HOSTS_TABLE,
@@ -132,8 +132,8 @@
             table: rollouts::STATUS_TABLE,
             key: &status_key,
             value: Some(rollouts::status_value(
-                state_of(stored.note.stage),
-                &stored.note.to,
+                state_of(stored.record.stage),
+                &stored.record.to,
             )),
         },
     ];
@@ -147,8 +147,8 @@
             shared.metrics.store_call("rollout", "answered");
             log::info!(
                 "event=rollout_written service={service} to={} stage={:?} version={version} {}",
-                stored.note.to,
-                stored.note.stage,
+                stored.record.to,
+                stored.record.stage,
                 stored.evidence
             );
             shared.rollouts.take_row(&stored, version, elapsed);
@@ -171,7 +171,7 @@
             shared.metrics.store_call("rollout", "failed");
             log::warn!(
                 "event=rollout_unwritten service={service} stage={:?} error=\"{}\"",
-                stored.note.stage,
+                stored.record.stage,
                 report.current_context()
             );
             false
--- a/crates/mesh/src/rollouts/row.rs
+++ b/crates/mesh/src/rollouts/row.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use filbert_platform::store::StoreRow;
-use filbert_policy::rollout::note::RolloutRecord;
+use filbert_policy::rollout::record::RolloutRecord;
 use serde::{Deserialize, Serialize};
 
 use crate::row_value;
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutRow {
     /// The note.
-    pub note: RolloutRecord,
+    pub record: RolloutRecord,
     /// The store's clock at the order.
     pub ordered_at: Duration,
     /// What a verdict rested on, in words.
@@ -30,7 +30,7 @@
         let service = row.key.strip_prefix(KEY_PREFIX)?;
         let value = row.value.as_ref()?;
         match row_value::decode::<RolloutRow>(value) {
-            Ok(stored) if stored.note.service == service => Some(stored),
+            Ok(stored) if stored.record.service == service => Some(stored),
             _ => {
                 log::warn!("event=rollout_row_malformed key={}", row.key);
                 None
--- a/crates/mesh/src/rollouts/spread.rs
+++ b/crates/mesh/src/rollouts/spread.rs
@@ -29,7 +29,7 @@
             .map(|entry| RolloutNews {
                 elapsed: now.saturating_duration_since(entry.ordered),
                 confirmed: entry.confirmed,
-                note: entry.note,
+                record: entry.record,
             })
             .collect();
         (!news.is_empty()).then_some(LinkMessage::Rollouts(news))
@@ -39,7 +39,7 @@
     pub fn hear_rollouts(&self, news: &[RolloutNews], from: &str) {
         for told in news {
             self.rollouts
-                .merge(&told.note, told.elapsed, told.confirmed, from);
+                .merge(&told.record, told.elapsed, told.confirmed, from);
         }
     }
 
--- a/crates/policy/src/rollout/schedule.rs
+++ b/crates/policy/src/rollout/schedule.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use super::judge::Verdict;
-use super::note::{RolloutStage, StageReason};
+use super::record::{RolloutStage, StageReason};
 use crate::numbers::{count_of, whole_of};
 
 /// What a roll-out may risk and how its calls are spent.
--- a/crates/policy/tests/rollout_cases.rs
+++ b/crates/policy/tests/rollout_cases.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use filbert_policy::rollout::judge::{CallCounts, Verdict};
-use filbert_policy::rollout::note::{
+use filbert_policy::rollout::record::{
     OrderId, RolloutRecord, RolloutStage, StageReason, VersionPreference,
 };
 use filbert_policy::rollout::schedule::{ExposureBudget, RolloutView, TrialPlacement};
@@ -227,7 +227,7 @@
     assert!(terms.canaries >= 3);
 }
 
-fn note(order: (u64, u64), step: u32, stage: RolloutStage, is_written: bool) -> RolloutRecord {
+fn record(order: (u64, u64), step: u32, stage: RolloutStage, is_written: bool) -> RolloutRecord {
     let order = OrderId {
         era: order.0,
         version: order.1,
@@ -244,16 +244,16 @@
     RolloutRecord {
         decided_by: decider.to_owned(),
         canaries: vec![format!("tried-by-{decider}")],
-        ..note((0, 5), 1, TRIAL, false)
+        ..record((0, 5), 1, TRIAL, false)
     }
 }
 
 #[rstest]
-#[case::a_later_step(note((0, 5), 2, RAMP, false), note((0, 5), 1, TRIAL, false))]
-#[case::an_end(note((0, 5), 2, RolloutStage::RolledBack, false), note((0, 5), 3, RolloutStage::Moved, false))]
-#[case::a_written_end(note((0, 5), 3, RolloutStage::Completed, true), note((0, 5), 4, RolloutStage::RolledBack, false))]
-#[case::a_later_order(note((0, 9), 0, WAITING, false), note((0, 5), 4, RolloutStage::RolledBack, true))]
-#[case::the_end_of_an_order_written_again(note((0, 9), 4, RolloutStage::Completed, true), note((1, 3), 0, WAITING, false))]
+#[case::a_later_step(record((0, 5), 2, RAMP, false), record((0, 5), 1, TRIAL, false))]
+#[case::an_end(record((0, 5), 2, RolloutStage::RolledBack, false), record((0, 5), 3, RolloutStage::Moved, false))]
+#[case::a_written_end(record((0, 5), 3, RolloutStage::Completed, true), record((0, 5), 4, RolloutStage::RolledBack, false))]
+#[case::a_later_order(record((0, 9), 0, WAITING, false), record((0, 5), 4, RolloutStage::RolledBack, true))]
+#[case::the_end_of_an_order_written_again(record((0, 9), 4, RolloutStage::Completed, true), record((1, 3), 0, WAITING, false))]
 #[case::of_two_deciders_at_once(tried_by("host-2"), tried_by("host-1"))]
 fn one_note_wins(#[case] winner: RolloutRecord, #[case] loser: RolloutRecord) {
     assert!(winner.supersedes(&loser));
@@ -262,7 +262,7 @@
 
 #[test]
 fn lanes_and_gates_keep_to_the_stage() {
-    let trial = note((0, 5), 1, RolloutStage::Trial { per_mille: 100 }, false);
+    let trial = record((0, 5), 1, RolloutStage::Trial { per_mille: 100 }, false);
     let tried = (0..10_000)
         .filter(|call| {
             trial.version_preference(&format!("call-{call}"), true) == VersionPreference::PreferNew
@@ -282,9 +282,9 @@
         (RolloutStage::RolledBack, true, [true, false]),
     ];
     for (stage, is_fresh, [old, new]) in cases {
-        let note = note((0, 5), 1, stage, false);
-        assert_eq!(note.admits("v1", is_fresh), old, "{stage:?}, old");
-        assert_eq!(note.admits("v2", is_fresh), new, "{stage:?}, new");
+        let record = record((0, 5), 1, stage, false);
+        assert_eq!(record.admits("v1", is_fresh), old, "{stage:?}, old");
+        assert_eq!(record.admits("v2", is_fresh), new, "{stage:?}, new");
     }
 }
 
@@ -302,7 +302,7 @@
         |(version, step, stage, is_written, decider)| RolloutRecord {
             decided_by: decider.to_owned(),
             canaries: vec![format!("tried-by-{decider}")],
-            ..note((0, version), step, stage, is_written && stage.is_final())
+            ..record((0, version), step, stage, is_written && stage.is_final())
         },
     )
 }
@@ -317,9 +317,9 @@
     ) {
         let merged = |notes: &[RolloutRecord]| {
             let mut best = notes[0].clone();
-            for note in notes {
-                if note.supersedes(&best) {
-                    best = note.clone();
+            for record in notes {
+                if record.supersedes(&best) {
+                    best = record.clone();
                 }
             }
             best
