--- a/crates/policy/src/quarantine/mod.rs
+++ b/crates/policy/src/quarantine/mod.rs
@@ -1,13 +1,15 @@
-//! Which calls are held back because the targets that run them end.
+//! Holds back calls that crash the targets that run them.
 //!
-//! Load pattern: one call ends each target that begins to run it, and its
-//! client brings it again, to any host. Each end takes with it whatever else
-//! the target had under way, so most calls that are at work as targets end are
-//! bystanders.
+//! Load pattern: one call (a "query of death") crashes each target that begins
+//! to run it, and its client sends it again, to any host. A crash also ends
+//! every other call that the target was running, so most calls that were running
+//! during a crash are bystanders.
 //!
-//! Each daemon keeps a book of its own. What is in it came from targets that
-//! ended beside it, from replies to its own calls, and from other daemons; books
-//! are merged in any order and any number of times with the same result.
+//! Each daemon has a [`QuarantineTable`] of its own. Its entries come from
+//! crashes of the target on the same host, from replies to the daemon's own
+//! calls, and from other daemons. Entries may arrive in any order and more than
+//! once: merged tables agree, except for clearings within half a second of each
+//! other, which are taken for one.
 
 mod record;
 
@@ -17,104 +19,110 @@
 use crate::identity::CallIdentity;
 pub use record::{CallRecord, TargetCrash};
 
-/// Strikes from which a call runs once at a time in the whole fleet, and is not
-/// sent on by itself.
+/// Strikes from which a call is a suspect: it runs once at a time in the whole
+/// fleet, and daemons do not retry it by themselves.
 const SUSPECT_STRIKES: u32 = 2;
-/// Time over which daemons spread the first try of a suspect, so that most hear
-/// of one before they begin another.
-const SUSPECT_SPREAD: Duration = Duration::from_secs(1);
-/// Strikes from which a call is held back: two may happen to a bystander of
-/// targets that end in series, three in a row hardly.
+/// Window over which daemons spread the first probe of a suspect, so that most
+/// have heard of one probe before they begin another.
+const SUSPECT_JITTER_WINDOW: Duration = Duration::from_secs(1);
+/// Strikes from which a call is held back. A bystander of targets that crash one
+/// after another may well get two strikes, but hardly three in a row.
 const HELD_STRIKES: u32 = 3;
-/// How long a call is held back at first; up to twice that, as daemons spread
-/// its one try. Long enough for a service to be itself again, as its targets are
-/// back within seconds, and short for a bystander of all three ends.
+/// Shortest first hold; jitter makes it up to twice as long, so that daemons
+/// spread their probes. Long enough for a service to recover, as its targets are
+/// back within seconds, and short for a bystander of all three crashes.
 const FIRST_HOLD: Duration = Duration::from_secs(5);
-/// Each further strike makes the hold longer by this factor: a harmful call gets
-/// three more tries within an hour.
+/// Factor by which each further strike lengthens the hold. With 10, a harmful
+/// call gets three more probes within an hour.
 const HOLD_GROWTH: u32 = 10;
-/// Longest hold.
-const LONGEST_HOLD: Duration = Duration::from_hours(8);
-/// Time in which no second try of a suspect goes, unless the first has ended:
-/// nearly all runs take less.
-const TRIAL_TIME: Duration = Duration::from_secs(2);
-/// How long a call is remembered after its last strike, or the end of its hold.
-const REMEMBERED: Duration = Duration::from_hours(1);
-/// Calls remembered. A target that ends adds as many as it has slots.
-const MOST_CALLS: usize = 2_048;
-
-/// What may be done with a call.
+/// Longest hold, before jitter.
+const MAX_HOLD: Duration = Duration::from_hours(8);
+/// Time after which a probe no longer blocks the next one, even if it has not
+/// ended; nearly all runs take less.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a record is kept after its last change, or after the end of its hold.
+const RECORD_RETENTION: Duration = Duration::from_hours(1);
+/// Most calls in a table. A target that crashes adds as many as it has slots.
+const MAX_RECORDS: usize = 2_048;
+
+/// Whether the quarantine lets a call run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineState {
-    /// Whatever is done with others.
+    /// The call runs like any other.
     Unrestricted,
-    /// It may run as the only one of its identity.
+    /// The call may run as a probe: the only run of its identity in the fleet.
     ProbeAllowed,
-    /// Another of its identity is being tried.
+    /// Another run of the same identity is being probed; the call has to wait.
     ProbeInFlight,
-    /// It is not to run before that time has passed.
+    /// The call is held back for this much longer.
     Held(Duration),
 }
 
-/// What a mark or a message changed.
+/// What merging a crash, or another daemon's record, changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MergeOutcome {
-    /// Strikes before.
+    /// Strikes before the merge.
     pub before: u32,
-    /// Strikes now.
+    /// Strikes after the merge.
     pub now: u32,
-    /// Whether others may not know it yet.
+    /// Whether the record changed, so that other daemons may not know it yet.
     pub is_new: bool,
-    /// Whether the sender lacked what this daemon knew.
+    /// Whether the sender still counts crashes of which this daemon's record was
+    /// cleared; the sender should be told.
     pub is_sender_behind: bool,
 }
 
 impl MergeOutcome {
-    /// Whether the call came to be held back.
+    /// Whether the merge raised the call to the strikes at which it is held back.
     #[must_use]
     pub fn starts_hold(self) -> bool {
         self.before < HELD_STRIKES && self.now >= HELD_STRIKES
     }
 
-    /// Whether all daemons must know. A first mark is mostly a bystander's.
+    /// Whether all daemons must be told, as the call is or was a suspect. A first
+    /// strike is not broadcast: it is mostly a bystander's.
     #[must_use]
     pub fn needs_broadcast(self) -> bool {
         self.before.max(self.now) >= SUSPECT_STRIKES
     }
 }
 
-/// How long a call with `strikes` is held back after the last of them; `jitter`,
-/// a fraction of the daemon's own, keeps daemons from trying at one moment.
+/// How long a call with `strikes` is held back after its last crash.
+///
+/// `jitter`, a fraction between 0 and 1 that differs between daemons, keeps them
+/// from probing at the same moment. Values outside that range are clamped.
 #[must_use]
 pub fn hold_duration(strikes: u32, jitter: f64) -> Duration {
     if strikes < SUSPECT_STRIKES {
         return Duration::ZERO;
     }
     let jitter = jitter.clamp(0.0, 1.0);
-    let Some(more) = strikes.checked_sub(HELD_STRIKES) else {
-        return SUSPECT_SPREAD.mul_f64(jitter);
+    let Some(extra_strikes) = strikes.checked_sub(HELD_STRIKES) else {
+        return SUSPECT_JITTER_WINDOW.mul_f64(jitter);
     };
-    let factor = HOLD_GROWTH.saturating_pow(more);
+    let factor = HOLD_GROWTH.saturating_pow(extra_strikes);
     FIRST_HOLD
         .saturating_mul(factor)
-        .min(LONGEST_HOLD)
+        .min(MAX_HOLD)
         .mul_f64(1.0 + jitter)
 }
 
-/// Whether what `record` says is so old that it is not remembered.
+/// Whether `record` is old enough to be dropped: its longest possible hold and
+/// the retention time after it have passed.
 #[must_use]
 pub fn is_expired(record: &CallRecord, now: Instant) -> bool {
-    record.is_over(hold_duration(record.strikes(), 1.0) + REMEMBERED, now)
+    record.is_unchanged_for(hold_duration(record.strikes(), 1.0) + RECORD_RETENTION, now)
 }
 
-/// A daemon's book of the calls that were at work as targets ended.
+/// One daemon's records of the calls that were running as targets crashed.
 #[derive(Clone, Debug, Default)]
 pub struct QuarantineTable {
     records: HashMap<CallIdentity, CallRecord>,
 }
 
 impl QuarantineTable {
-    /// Takes over a mark, or what another daemon knows of `call`.
+    /// Merges a crash, or another daemon's record, into the record of `call`. An
+    /// expired record is replaced.
     pub fn merge(&mut self, call: CallIdentity, told: &CallRecord, now: Instant) -> MergeOutcome {
         if !self.records.contains_key(&call) {
             self.make_room(now);
@@ -134,8 +142,8 @@
         }
     }
 
-    /// Notes that a target ran `call` and answered: it harms none. The strikes
-    /// that it is cleared of.
+    /// Clears `call` of its strikes, as a target ran it to a full answer. Returns
+    /// the strikes that it had.
     pub fn record_success(&mut self, call: CallIdentity, now: Instant) -> u32 {
         let Some(record) = self.records.get_mut(&call) else {
             return 0;
@@ -147,9 +155,11 @@
         strikes
     }
 
-    /// What may be done with `call`; `jitter` is a random fraction of the
-    /// daemon's own. The calls that are held since one moment are tried at
-    /// different ones: beside each other they would be told apart by nothing.
+    /// Whether `call` may run now; `jitter` is the daemon's own random fraction.
+    ///
+    /// Calls that are held since the same moment are probed at different moments,
+    /// as each call's identity shifts the jitter. Probed together, a crash would
+    /// not show which of them caused it.
     #[must_use]
     pub fn quarantine_state(
         &self,
@@ -166,13 +176,16 @@
         }
         let jitter = (jitter + call.fraction()).fract();
         match record.remaining_hold(hold_duration(strikes, jitter), now) {
-            Duration::ZERO if record.is_tried(TRIAL_TIME, now) => QuarantineState::ProbeInFlight,
+            Duration::ZERO if record.is_probe_in_flight(PROBE_TIMEOUT, now) => {
+                QuarantineState::ProbeInFlight
+            }
             Duration::ZERO => QuarantineState::ProbeAllowed,
             left => QuarantineState::Held(left),
         }
     }
 
-    /// Time for which no daemon, whatever its spread, lets `call` go.
+    /// Time for which no daemon lets `call` run, whatever its jitter; zero if the
+    /// call is not held.
     #[must_use]
     pub fn remaining_hold(&self, call: CallIdentity, now: Instant) -> Duration {
         self.records.get(&call).map_or(Duration::ZERO, |record| {
@@ -180,39 +193,39 @@
         })
     }
 
-    /// Whether `call` is not to be sent to another target by itself.
+    /// Whether `call` is a suspect: daemons must not retry it by themselves.
     #[must_use]
     pub fn is_suspect(&self, call: CallIdentity) -> bool {
         self.strikes(call) >= SUSPECT_STRIKES
     }
 
-    /// Strikes of `call`.
+    /// Strikes of `call`; 0 for one without a record.
     #[must_use]
     pub fn strikes(&self, call: CallIdentity) -> u32 {
         self.records.get(&call).map_or(0, CallRecord::strikes)
     }
 
-    /// Notes that the one try of `call` goes; others are to know.
+    /// Records that a probe of `call` starts. The caller tells other daemons.
     pub fn begin_probe(&mut self, call: CallIdentity, now: Instant) {
         if let Some(record) = self.records.get_mut(&call) {
-            record.set_tried(Some(now));
+            record.set_probe_started(Some(now));
         }
     }
 
-    /// Notes that it has ended, whatever came of it.
+    /// Records that this daemon's probe of `call` ended, whatever its outcome.
     pub fn end_probe(&mut self, call: CallIdentity) {
         if let Some(record) = self.records.get_mut(&call) {
-            record.set_tried(None);
+            record.set_probe_started(None);
         }
     }
 
-    /// What is known of `call`.
+    /// The record of `call`; `None` if it was in no crash that is still remembered.
     #[must_use]
     pub fn record(&self, call: CallIdentity) -> Option<&CallRecord> {
         self.records.get(&call)
     }
 
-    /// The calls that all daemons must know of, most strikes first.
+    /// The suspects, which all daemons must know of; most strikes first.
     #[must_use]
     pub fn suspects(&self) -> Vec<(CallIdentity, &CallRecord)> {
         let mut calls: Vec<_> = self
@@ -225,7 +238,7 @@
         calls
     }
 
-    /// Calls held back now.
+    /// Number of calls that are held back now.
     #[must_use]
     pub fn held(&self, now: Instant) -> usize {
         let calls = self.records.keys();
@@ -234,22 +247,24 @@
             .count()
     }
 
-    /// Guards against a book that grows: callers can make up as many calls as
-    /// they like. What is over goes first, then what looks most like a
-    /// bystander.
+    /// Makes room for one more record.
+    ///
+    /// Bounds the table's memory, as callers can make up any number of calls.
+    /// Expired records are dropped first, then those with the fewest strikes,
+    /// which are most likely bystanders.
     fn make_room(&mut self, now: Instant) {
-        if self.records.len() < MOST_CALLS {
+        if self.records.len() < MAX_RECORDS {
             return;
         }
         self.records.retain(|_, record| !is_expired(record, now));
-        while self.records.len() >= MOST_CALLS {
-            let least = self
+        while self.records.len() >= MAX_RECORDS {
+            let weakest = self
                 .records
                 .iter()
                 .min_by_key(|(_, record)| (record.strikes(), record.last_change()))
                 .map(|(call, _)| *call);
-            let Some(least) = least else { return };
-            self.records.remove(&least);
+            let Some(weakest) = weakest else { return };
+            self.records.remove(&weakest);
         }
     }
 }
--- a/crates/policy/src/quarantine/record.rs
+++ b/crates/policy/src/quarantine/record.rs
@@ -1,45 +1,46 @@
-//! What is known of one call that was at work as targets ended.
+//! What is known of one call that was running as targets crashed.
 
 use std::time::{Duration, Instant};
 
 use super::{FIRST_HOLD, HELD_STRIKES};
 
-/// Marks kept of one call; far more than decide anything.
-const MOST_MARKS: usize = 16;
-/// Times told by others are taken for the same within this: it covers what a
-/// message is under way.
-const SAME_TIME: Duration = Duration::from_millis(500);
+/// Most crashes in a record; far more than any decision depends on.
+const MAX_CRASHES: usize = 16;
+/// Times that daemons report are taken for equal within this tolerance, which
+/// covers a message's transit time.
+const TIME_TOLERANCE: Duration = Duration::from_millis(500);
 
-/// A target ended while it ran a call.
+/// A crash of a target while it ran a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TargetCrash {
-    /// Tells it from other marks of the call.
+    /// Random number that identifies the crash among those of the call.
     pub id: u64,
-    /// When the run began.
+    /// When the target began to run the call.
     pub began: Instant,
-    /// When the target ended.
+    /// When the target crashed.
     pub ended: Instant,
 }
 
-/// What is known of one call.
+/// The crashes, the last full answer and the pending probe of one call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallRecord {
-    /// In the order of their ends.
+    /// Crashes, by the time of the crash.
     crashes: Vec<TargetCrash>,
-    /// When it last ran well; marks from before do not count.
+    /// When the call last ran to a full answer; crashes up to then do not count.
     cleared: Option<Instant>,
-    /// When a try last went that has not ended.
+    /// Start of the last probe, if it has not ended.
     probe_started: Option<Instant>,
 }
 
 impl CallRecord {
-    /// A record of one mark.
+    /// A record of a single crash.
     #[must_use]
     pub fn from_crash(crash: TargetCrash) -> CallRecord {
         CallRecord::new(vec![crash], None, None)
     }
 
-    /// A record as another daemon tells it.
+    /// A record from its parts, as another daemon or a stored row has them. The
+    /// crashes may be in any order.
     #[must_use]
     pub fn new(
         mut crashes: Vec<TargetCrash>,
@@ -54,64 +55,69 @@
         }
     }
 
-    /// The marks that count, in the order of their ends.
+    /// The crashes since the call was last cleared, by the time of the crash.
     pub fn crashes(&self) -> impl Iterator<Item = &TargetCrash> {
         let counts =
             |crash: &&TargetCrash| self.cleared.is_none_or(|cleared| crash.ended > cleared);
         self.crashes.iter().filter(counts)
     }
 
-    /// When it last ran well.
+    /// When the call last ran to a full answer; `None` if it never did.
     #[must_use]
     pub fn cleared(&self) -> Option<Instant> {
         self.cleared
     }
 
-    /// When a try last went that has not ended, as far as is known.
+    /// Start of the last probe; `None` if it is known to have ended.
     #[must_use]
     pub fn probe_started(&self) -> Option<Instant> {
         self.probe_started
     }
 
-    /// How strongly its runs speak against it.
+    /// How strongly the crashes speak against the call.
     ///
-    /// Ends in a row count: of runs that began after the end before. Targets
-    /// that end at one moment, as with a zone, are one strike against a popular
-    /// call that was at work in all of them, and two with a further end. What
-    /// ends before news of the third are everywhere adds nothing; from then on
-    /// only tries count that came after a hold.
+    /// Crashes are grouped in rounds: a crash opens a new round if its run began
+    /// after the crash that opened the round before. Targets that crash at one
+    /// moment, as when an availability zone fails, are one round. A single round is
+    /// one strike, even for a popular call that ran on all of these targets. From
+    /// the second round on, each crash is a strike, up to [`HELD_STRIKES`].
+    ///
+    /// Crashes that happen before all daemons know of the third strike add
+    /// nothing. Beyond it only runs count that began at least [`FIRST_HOLD`] after
+    /// the crash before, that is, probes after a hold.
     #[must_use]
     pub fn strikes(&self) -> u32 {
         let mut strikes = 0;
         let mut rounds = 0;
-        let mut round_end = None;
-        let mut last_end = None;
-        for (ends, crash) in (1..).zip(self.crashes()) {
-            let is_later = |than: Option<Instant>, by| than.is_none_or(|at| crash.began >= at + by);
+        let mut round_opened = None;
+        let mut last_crash = None;
+        for (crash_count, crash) in (1..).zip(self.crashes()) {
+            let began_after =
+                |time: Option<Instant>, by| time.is_none_or(|at| crash.began >= at + by);
             if strikes >= HELD_STRIKES {
-                strikes += u32::from(is_later(last_end, FIRST_HOLD));
-            } else if is_later(round_end, Duration::ZERO) {
+                strikes += u32::from(began_after(last_crash, FIRST_HOLD));
+            } else if began_after(round_opened, Duration::ZERO) {
                 rounds += 1;
-                round_end = Some(crash.ended);
+                round_opened = Some(crash.ended);
             }
             if strikes < HELD_STRIKES {
                 strikes = match rounds {
                     1 => 1,
-                    _ => ends.min(rounds + 1).min(HELD_STRIKES),
+                    _ => crash_count.min(rounds + 1).min(HELD_STRIKES),
                 };
             }
-            last_end = Some(crash.ended);
+            last_crash = Some(crash.ended);
         }
         strikes
     }
 
-    /// Whether it speaks for holding the call back.
+    /// Whether the call has enough strikes to be held back.
     #[must_use]
     pub fn is_held(&self) -> bool {
         self.strikes() >= HELD_STRIKES
     }
 
-    /// Takes over what `told` has; whether anything was new.
+    /// Merges the record `told` into this one; returns whether that changed it.
     pub(super) fn merge(&mut self, told: &CallRecord) -> bool {
         let mut is_new = false;
         if is_later(told.cleared, self.cleared) {
@@ -128,15 +134,18 @@
         is_new
     }
 
-    /// Adds a mark, unless it is known, older than the clearing, or older than
-    /// all of a full record: that would come and go for ever among daemons.
+    /// Adds a crash; returns whether it was added.
+    ///
+    /// A crash is ignored if it is known, if the call was cleared after it, or if
+    /// it is older than all crashes of a full record. Daemons would otherwise drop
+    /// such a crash and pass it back to each other for ever.
     fn add(&mut self, crash: TargetCrash) -> bool {
         let is_known = self.crashes.iter().any(|known| known.id == crash.id);
         let is_cleared = self.cleared.is_some_and(|cleared| crash.ended <= cleared);
         let place = self
             .crashes
             .partition_point(|known| known.ended <= crash.ended);
-        let is_full = self.crashes.len() >= MOST_MARKS;
+        let is_full = self.crashes.len() >= MAX_CRASHES;
         if is_known || is_cleared || (is_full && place == 0) {
             return false;
         }
@@ -147,7 +156,8 @@
         true
     }
 
-    /// Whether this record was cleared of marks that `told` still counts.
+    /// Whether this record was cleared of crashes that `told` still counts, and
+    /// these make the call a suspect.
     pub(super) fn has_later_clearing(&self, told: &CallRecord) -> bool {
         is_later(self.cleared, told.cleared) && told.strikes() > 1
     }
@@ -158,42 +168,43 @@
         self.probe_started = None;
     }
 
-    pub(super) fn set_tried(&mut self, probe_started: Option<Instant>) {
+    pub(super) fn set_probe_started(&mut self, probe_started: Option<Instant>) {
         self.probe_started = probe_started;
     }
 
-    /// What is left of `hold` after the last mark.
+    /// What is left at `now` of a `hold` that began with the last crash.
     pub(super) fn remaining_hold(&self, hold: Duration, now: Instant) -> Duration {
         self.crashes().last().map_or(Duration::ZERO, |crash| {
             (crash.ended + hold).saturating_duration_since(now)
         })
     }
 
-    /// Whether a try that went within `time` has not ended. One after which a
-    /// target ended is over.
-    pub(super) fn is_tried(&self, time: Duration, now: Instant) -> bool {
-        let last_end = self.crashes().last().map(|crash| crash.ended);
+    /// Whether a probe that started less than `timeout` ago has not ended. A crash
+    /// after its start ends a probe.
+    pub(super) fn is_probe_in_flight(&self, timeout: Duration, now: Instant) -> bool {
+        let last_crash = self.crashes().last().map(|crash| crash.ended);
         self.probe_started.is_some_and(|probe_started| {
-            now < probe_started + time && Some(probe_started) > last_end
+            now < probe_started + timeout && Some(probe_started) > last_crash
         })
     }
 
-    /// When it last changed.
+    /// Time of the last crash or clearing; `None` for an empty record.
     pub(super) fn last_change(&self) -> Option<Instant> {
-        let last_mark = self.crashes.last().map(|crash| crash.ended);
-        last_mark.max(self.cleared)
+        let last_crash = self.crashes.last().map(|crash| crash.ended);
+        last_crash.max(self.cleared)
     }
 
-    /// Whether nothing changed for `kept`.
-    pub(super) fn is_over(&self, kept: Duration, now: Instant) -> bool {
-        self.last_change().is_none_or(|at| now >= at + kept)
+    /// Whether no crash or clearing happened within the last `time`.
+    pub(super) fn is_unchanged_for(&self, time: Duration, now: Instant) -> bool {
+        self.last_change().is_none_or(|at| now >= at + time)
     }
 }
 
-/// Whether `one` is later than `other`, by more than messages take.
+/// Whether `one` is later than `other` by more than [`TIME_TOLERANCE`]; any time is
+/// later than none.
 fn is_later(one: Option<Instant>, other: Option<Instant>) -> bool {
     match (one, other) {
-        (Some(one), Some(other)) => one > other + SAME_TIME,
+        (Some(one), Some(other)) => one > other + TIME_TOLERANCE,
         (one, other) => one.is_some() && other.is_none(),
     }
 }
--- a/crates/policy/tests/quarantine_replay.rs
+++ b/crates/policy/tests/quarantine_replay.rs
@@ -1,5 +1,5 @@
-//! Generated histories of a fleet: targets that end, one call that ends them,
-//! and bystanders.
+//! Replays generated histories of a fleet: targets that crash, one call that
+//! crashes them, and bystanders.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -10,24 +10,25 @@
 };
 use proptest::prelude::*;
 
-/// One step of time.
+/// Simulated time of one step.
 const STEP: Duration = Duration::from_millis(10);
-/// Time that a target is away after its end.
-const AWAY: Duration = Duration::from_secs(3);
-/// Daemons in a history.
-const MOST_DAEMONS: usize = 8;
+/// Time that a target takes to restart after a crash.
+const RESTART_TIME: Duration = Duration::from_secs(3);
+/// Most daemons in a history.
+const MAX_DAEMONS: usize = 8;
 /// Calls that a target runs at once.
 const SLOTS: usize = 8;
-/// Time from the third end within which all daemons must know.
-const KNOWN_WITHIN: Duration = Duration::from_secs(3);
-/// Runs of the harmful call after that.
-const MOST_LATE_RUNS: usize = 3;
-/// Strikes of a bystander where only the harmful call ends targets: it may have
-/// been at work at each end. It is refused for the first hold, 10 s at most.
-const MOST_STRIKES: u32 = 3;
-/// Time beyond a hold for which a call may be refused: another daemon tries it
-/// first, and its answer is told.
-const ASKED_AGAIN: Duration = Duration::from_secs(3);
+/// Time after the third crash within which all daemons must hold the call.
+const MAX_PROPAGATION: Duration = Duration::from_secs(3);
+/// Most runs of the harmful call after that time.
+const MAX_LATE_RUNS: usize = 3;
+/// Most strikes of a refused bystander when only the harmful call crashes targets:
+/// the bystander may have been running at each crash. It is refused for the first
+/// hold, 10 s at most.
+const MAX_BYSTANDER_STRIKES: u32 = 3;
+/// Time beyond its hold for which a call may still be refused: another daemon
+/// probes it first, and the result has to arrive.
+const MAX_PROBE_DELAY: Duration = Duration::from_secs(3);
 
 fn identity(name: &str) -> CallIdentity {
     CallIdentity::of(&IdentityParts {
@@ -40,46 +41,48 @@
     })
 }
 
-/// What happens, as drawn.
+/// Parameters of one replay, as generated.
 #[derive(Clone, Debug)]
 struct History {
     daemons: usize,
-    /// Each daemon's fraction of a hold.
-    spreads: [f64; MOST_DAEMONS],
+    /// Each daemon's jitter, as a fraction of a hold.
+    jitters: [f64; MAX_DAEMONS],
     targets: usize,
-    /// Steps until news are everywhere.
-    news_steps: usize,
-    /// Steps between two tries of the harmful call.
+    /// Steps until a message reaches all daemons.
+    message_steps: usize,
+    /// Steps between two requests for the harmful call.
     harmful_every: usize,
-    /// Steps that it runs before its target ends.
+    /// Steps that the harmful call runs before its target crashes.
     harmful_runs: usize,
-    /// Steps between two calls of the popular bystander.
+    /// Steps between two requests for the popular bystander.
     popular_every: usize,
-    /// Steps that a bystander runs.
+    /// Steps that a bystander takes to run.
     bystander_runs: usize,
-    /// Targets that end by themselves, by step.
-    ends: BTreeMap<usize, usize>,
+    /// Targets that crash by themselves, by step.
+    unrelated_crashes: BTreeMap<usize, usize>,
 }
 
 fn histories() -> impl Strategy<Value = History> {
     (
-        (2..=MOST_DAEMONS, 3_usize..12, 1_usize..25),
+        (2..=MAX_DAEMONS, 3_usize..12, 1_usize..25),
         (5_usize..100, 1_usize..15),
         (2_usize..20, 2_usize..30),
         prop::collection::btree_map(0_usize..4_000, 0_usize..12, 0..30),
         prop::array::uniform(0.0..1.0),
     )
-        .prop_map(|(size, harmful, popular, ends, spreads)| History {
-            daemons: size.0,
-            spreads,
-            targets: size.1,
-            news_steps: size.2,
-            harmful_every: harmful.0,
-            harmful_runs: harmful.1,
-            popular_every: popular.0,
-            bystander_runs: popular.1,
-            ends,
-        })
+        .prop_map(
+            |(size, harmful, popular, unrelated_crashes, jitters)| History {
+                daemons: size.0,
+                jitters,
+                targets: size.1,
+                message_steps: size.2,
+                harmful_every: harmful.0,
+                harmful_runs: harmful.1,
+                popular_every: popular.0,
+                bystander_runs: popular.1,
+                unrelated_crashes,
+            },
+        )
 }
 
 struct Run {
@@ -92,114 +95,119 @@
 #[derive(Default)]
 struct Target {
     runs: Vec<Run>,
-    away_until: Option<Instant>,
+    down_until: Option<Instant>,
 }
 
-/// What was seen of one call.
+/// What happened to one call.
 #[derive(Default)]
-struct Sight {
-    /// When targets ended under it.
-    ends: Vec<Instant>,
-    begun: Vec<Instant>,
+struct CallHistory {
+    /// When targets crashed while they ran the call.
+    crashes: Vec<Instant>,
+    /// When runs of the call began.
+    run_starts: Vec<Instant>,
     refused_since: Option<Instant>,
     longest_refused: Duration,
-    /// The most strikes of which a daemon refused it.
-    most_strikes: u32,
+    /// Most strikes of the call at any refusal.
+    max_strikes: u32,
 }
 
 struct Fleet {
-    books: Vec<QuarantineTable>,
-    spreads: Vec<f64>,
+    tables: Vec<QuarantineTable>,
+    jitters: Vec<f64>,
     targets: Vec<Target>,
-    /// News under way: when they arrive, and what they say.
-    news: Vec<(Instant, CallIdentity, CallRecord)>,
-    news_time: Duration,
-    sights: BTreeMap<CallIdentity, Sight>,
+    /// Messages in transit, with the time of their arrival.
+    messages: Vec<(Instant, CallIdentity, CallRecord)>,
+    message_delay: Duration,
+    call_histories: BTreeMap<CallIdentity, CallHistory>,
     now: Instant,
-    crashes: u64,
-    turn: usize,
+    last_crash_id: u64,
+    requests: usize,
 }
 
 impl Fleet {
     fn new(history: &History) -> Fleet {
         Fleet {
-            books: vec![QuarantineTable::default(); history.daemons],
-            spreads: history.spreads[..history.daemons].to_vec(),
+            tables: vec![QuarantineTable::default(); history.daemons],
+            jitters: history.jitters[..history.daemons].to_vec(),
             targets: (0..history.targets).map(|_| Target::default()).collect(),
-            news: Vec::new(),
-            news_time: STEP * u32::try_from(history.news_steps).unwrap_or(1),
-            sights: BTreeMap::new(),
+            messages: Vec::new(),
+            message_delay: STEP * u32::try_from(history.message_steps).unwrap_or(1),
+            call_histories: BTreeMap::new(),
             now: Instant::now(),
-            crashes: 0,
-            turn: 0,
+            last_crash_id: 0,
+            requests: 0,
         }
     }
 
-    fn note(&mut self, daemon: usize, call: CallIdentity, record: &CallRecord) {
-        let change = self.books[daemon].merge(call, record, self.now);
+    fn merge(&mut self, daemon: usize, call: CallIdentity, record: &CallRecord) {
+        let change = self.tables[daemon].merge(call, record, self.now);
         if change.is_new || change.is_sender_behind {
             self.send(daemon, call);
         }
     }
 
     fn send(&mut self, daemon: usize, call: CallIdentity) {
-        if let Some(record) = self.books[daemon].record(call) {
-            let news = (self.now + self.news_time, call, record.clone());
-            self.news.push(news);
+        if let Some(record) = self.tables[daemon].record(call) {
+            let message = (self.now + self.message_delay, call, record.clone());
+            self.messages.push(message);
         }
     }
 
-    fn hear_news(&mut self) {
+    fn deliver_messages(&mut self) {
         let now = self.now;
-        let (due, left): (Vec<_>, Vec<_>) = std::mem::take(&mut self.news)
+        let (due, left): (Vec<_>, Vec<_>) = std::mem::take(&mut self.messages)
             .into_iter()
             .partition(|(at, _, _)| *at <= now);
-        self.news = left;
+        self.messages = left;
         for (_, call, record) in due {
-            for daemon in 0..self.books.len() {
-                self.note(daemon, call, &record);
+            for daemon in 0..self.tables.len() {
+                self.merge(daemon, call, &record);
             }
         }
     }
 
-    fn end_target(&mut self, target: usize) {
+    fn crash_target(&mut self, target: usize) {
         let target = &mut self.targets[target];
-        target.away_until = Some(self.now + AWAY);
+        target.down_until = Some(self.now + RESTART_TIME);
         for run in std::mem::take(&mut target.runs) {
-            self.crashes += 1;
+            self.last_crash_id += 1;
             let crash = TargetCrash {
-                id: self.crashes,
+                id: self.last_crash_id,
                 began: run.began,
                 ended: self.now,
             };
-            self.sights.entry(run.call).or_default().ends.push(self.now);
-            self.note(run.daemon, run.call, &CallRecord::from_crash(crash));
+            self.call_histories
+                .entry(run.call)
+                .or_default()
+                .crashes
+                .push(self.now);
+            self.merge(run.daemon, run.call, &CallRecord::from_crash(crash));
         }
     }
 
-    /// Ends what is due; a target that has run `harmful` for long enough ends.
+    /// Ends the runs that are due. A target crashes when its run of `harmful` is due.
     fn end_runs(&mut self, harmful: CallIdentity) {
         let now = self.now;
         for index in 0..self.targets.len() {
             let target = &mut self.targets[index];
-            if target.away_until.is_some_and(|until| until <= now) {
-                target.away_until = None;
+            if target.down_until.is_some_and(|until| until <= now) {
+                target.down_until = None;
             }
-            let is_over = |run: &Run| run.ends_at <= now;
+            let is_due = |run: &Run| run.ends_at <= now;
             if target
                 .runs
                 .iter()
-                .any(|run| run.call == harmful && is_over(run))
+                .any(|run| run.call == harmful && is_due(run))
             {
-                self.end_target(index);
+                self.crash_target(index);
                 continue;
             }
             let (done, left): (Vec<_>, Vec<_>) = std::mem::take(&mut target.runs)
                 .into_iter()
-                .partition(is_over);
+                .partition(is_due);
             target.runs = left;
             for run in done {
-                let table = &mut self.books[run.daemon];
+                let table = &mut self.tables[run.daemon];
                 table.end_probe(run.call);
                 let was_suspect = table.is_suspect(run.call);
                 table.record_success(run.call, now);
@@ -210,104 +218,106 @@
         }
     }
 
-    /// Asks the next daemon for `call`.
-    fn ask(&mut self, call: CallIdentity, runs_for: usize) {
-        self.turn += 1;
-        let daemon = self.turn % self.books.len();
+    /// Sends `call`, which runs for `run_steps`, to the next daemon in turn.
+    fn request(&mut self, call: CallIdentity, run_steps: usize) {
+        self.requests += 1;
+        let daemon = self.requests % self.tables.len();
         let now = self.now;
-        let table = &mut self.books[daemon];
-        let quarantine_state = table.quarantine_state(call, self.spreads[daemon], now);
-        let mut is_trial = false;
-        let sight = self.sights.entry(call).or_default();
-        match quarantine_state {
+        let table = &mut self.tables[daemon];
+        let state = table.quarantine_state(call, self.jitters[daemon], now);
+        let mut is_probe = false;
+        let call_history = self.call_histories.entry(call).or_default();
+        match state {
             QuarantineState::Unrestricted => {}
             QuarantineState::ProbeAllowed => {
                 table.begin_probe(call, now);
-                is_trial = true;
+                is_probe = true;
             }
             QuarantineState::ProbeInFlight | QuarantineState::Held(_) => {
-                let since = *sight.refused_since.get_or_insert(now);
-                sight.most_strikes = sight.most_strikes.max(table.strikes(call));
-                sight.longest_refused = sight.longest_refused.max(now.duration_since(since));
+                let since = *call_history.refused_since.get_or_insert(now);
+                call_history.max_strikes = call_history.max_strikes.max(table.strikes(call));
+                call_history.longest_refused =
+                    call_history.longest_refused.max(now.duration_since(since));
                 return;
             }
         }
-        sight.refused_since = None;
-        let table = &self.books[daemon];
-        let is_open = |target: &&mut Target| {
-            let is_beside = |run: &Run| run.call != call && table.is_suspect(run.call);
-            target.away_until.is_none()
+        call_history.refused_since = None;
+        let table = &self.tables[daemon];
+        let has_room = |target: &&mut Target| {
+            let is_other_suspect = |run: &Run| run.call != call && table.is_suspect(run.call);
+            target.down_until.is_none()
                 && target.runs.len() < SLOTS
-                && !(table.is_suspect(call) && target.runs.iter().any(is_beside))
+                && !(table.is_suspect(call) && target.runs.iter().any(is_other_suspect))
         };
-        let open = self
+        let best = self
             .targets
             .iter_mut()
-            .filter(is_open)
+            .filter(has_room)
             .min_by_key(|target| target.runs.len());
-        let Some(target) = open else {
-            self.books[daemon].end_probe(call);
+        let Some(target) = best else {
+            self.tables[daemon].end_probe(call);
             return;
         };
-        sight.begun.push(now);
+        call_history.run_starts.push(now);
         target.runs.push(Run {
             call,
             daemon,
             began: now,
-            ends_at: now + STEP * u32::try_from(runs_for).unwrap_or(1),
+            ends_at: now + STEP * u32::try_from(run_steps).unwrap_or(1),
         });
-        if is_trial {
+        if is_probe {
             self.send(daemon, call);
         }
     }
 }
 
-fn play(history: &History) -> Fleet {
+fn replay(history: &History) -> Fleet {
     let mut fleet = Fleet::new(history);
     let harmful = identity("/harmful");
     let popular = identity("/popular");
     for step in 0..4_000 {
-        fleet.hear_news();
+        fleet.deliver_messages();
         fleet.end_runs(harmful);
-        if let Some(target) = history.ends.get(&step) {
-            fleet.end_target(target % history.targets);
+        if let Some(target) = history.unrelated_crashes.get(&step) {
+            fleet.crash_target(target % history.targets);
         }
         if step % history.harmful_every == 0 {
-            fleet.ask(harmful, history.harmful_runs);
+            fleet.request(harmful, history.harmful_runs);
         }
         if step % history.popular_every == 0 {
-            fleet.ask(popular, history.bystander_runs);
-            fleet.ask(identity(&format!("/once/{step}")), history.bystander_runs);
+            fleet.request(popular, history.bystander_runs);
+            fleet.request(identity(&format!("/once/{step}")), history.bystander_runs);
         }
         fleet.now += STEP;
     }
     fleet
 }
 
-/// Histories played; some seconds.
+/// Generated histories; they take some seconds.
 const CASES: u32 = 400;
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(CASES))]
 
-    /// Whatever ends and whoever is at work then, the call that ends targets is
-    /// stopped, and a call that many ask for is hardly ever refused.
+    /// Whichever targets crash and whichever calls they run then, the call that
+    /// crashes targets is held back, and bystanders are refused no longer than
+    /// their strikes allow.
     #[test]
-    fn the_harmful_call_is_stopped_and_no_bystander(history in histories()) {
-        let fleet = play(&history);
-        let harmful = &fleet.sights[&identity("/harmful")];
-        if let Some(third) = harmful.ends.get(2) {
-            let late = harmful.begun.iter().filter(|at| **at > *third + KNOWN_WITHIN).count();
-            prop_assert!(late <= MOST_LATE_RUNS, "{} late runs", late);
+    fn the_harmful_call_is_held_back_and_bystanders_are_not(history in histories()) {
+        let fleet = replay(&history);
+        let harmful = &fleet.call_histories[&identity("/harmful")];
+        if let Some(third_crash) = harmful.crashes.get(2) {
+            let late_runs = harmful.run_starts.iter().filter(|at| **at > *third_crash + MAX_PROPAGATION).count();
+            prop_assert!(late_runs <= MAX_LATE_RUNS, "{} late runs", late_runs);
         }
-        for (call, sight) in &fleet.sights {
+        for (call, call_history) in &fleet.call_histories {
             if *call != identity("/harmful") {
-                let bound = hold_duration(sight.most_strikes, 1.0) + ASKED_AGAIN;
+                let bound = hold_duration(call_history.max_strikes, 1.0) + MAX_PROBE_DELAY;
                 prop_assert!(
-                    sight.longest_refused <= bound,
-                    "refused for {:?} after {} strikes", sight.longest_refused, sight.most_strikes
+                    call_history.longest_refused <= bound,
+                    "refused for {:?} after {} strikes", call_history.longest_refused, call_history.max_strikes
                 );
-                prop_assert!(!history.ends.is_empty() || sight.most_strikes <= MOST_STRIKES);
+                prop_assert!(!history.unrelated_crashes.is_empty() || call_history.max_strikes <= MAX_BYSTANDER_STRIKES);
             }
         }
     }
