--- a/crates/policy/src/rollout/mod.rs
+++ b/crates/policy/src/rollout/mod.rs
@@ -1,8 +1,8 @@
-//! Moving a service's calls to targets of another software version.
+//! Canary roll-outs: moving a service's calls to targets of a new software version.
 //!
-//! [`record`] says what daemons hold true of a roll-out and which of two such
-//! notes wins; [`schedule`] decides on the next stage; [`judge`] compares the
-//! new version with the old by what their targets made of their calls.
+//! [`record`] holds the replicated state of a roll-out and the order in which one
+//! record supersedes another; [`schedule`] decides on the next stage; [`judge`]
+//! compares the new version with the old one by how their calls ended.
 
 pub mod judge;
 pub mod record;
--- a/crates/policy/src/rollout/record.rs
+++ b/crates/policy/src/rollout/record.rs
@@ -1,95 +1,100 @@
-//! What daemons hold true of a roll-out, and where it lets calls go.
+//! The state of a roll-out that daemons replicate, and the targets that it lets
+//! calls go to.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use twox_hash::XxHash64;
 
-/// Which order. Later orders compare greater.
+/// Identifies the order of a roll-out. Later orders compare greater.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct OrderId {
-    /// How often the store had come back from an older copy.
+    /// How often the store had been restored from an older copy.
     pub era: u64,
-    /// The store's version in which the order was written.
+    /// The store's version at which the order was written.
     pub version: u64,
 }
 
-/// How far a roll-out is.
+/// Stage of a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RolloutStage {
-    /// Some calls go to the new version.
+    /// A share of the calls goes to the new version.
     Trial {
-        /// How many of a thousand; 0 while its targets are awaited.
+        /// Calls of each thousand that go to the new version; 0 while the
+        /// roll-out waits for its targets.
         per_mille: u16,
     },
-    /// All calls go to the new version; the old one ends its work.
+    /// All calls go to the new version; old targets finish the calls they have.
     Moved,
     /// The new version was found bad: all calls go to the old one. Final.
     RolledBack,
-    /// The old targets may end. Final.
+    /// All calls go to the new version, and the old targets may be stopped.
+    /// Final.
     Completed,
 }
 
 impl RolloutStage {
-    /// Whether nothing comes after it.
+    /// Whether no stage follows this one.
     #[must_use]
     pub fn is_final(self) -> bool {
         matches!(self, RolloutStage::RolledBack | RolloutStage::Completed)
     }
 }
 
-/// Why a stage was taken.
+/// Why a roll-out entered its stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum StageReason {
-    /// The order came.
+    /// The roll-out was ordered.
     Ordered,
     /// Targets of the new version are ready.
     TargetsReady,
-    /// Too few calls tell anything.
+    /// Too few calls ended for a verdict.
     MoreCalls,
-    /// Nothing speaks against the new version.
+    /// The evidence does not speak against the new version.
     LooksGood,
-    /// Its answers are worse than the old version's.
+    /// The new version's answers are worse than the old version's.
     LooksBad,
-    /// It has no targets, or none that answer.
+    /// The new version had no targets in time.
     NoTargets,
-    /// The time is up without a verdict.
+    /// The allowed time ran out without a good verdict.
     TimeUp,
-    /// Nothing is at work at old targets any more.
+    /// Old targets have no calls running or waiting any more.
     OldIdle,
-    /// Old targets whose daemons cannot be heard are not waited for any longer.
+    /// The deadline is near, so the roll-out no longer waits for old targets that
+    /// are busy or whose daemons cannot be reached.
     OldUnheard,
 }
 
-/// What daemons hold true of one service's roll-out.
+/// Replicated state of one service's roll-out. Daemons pass it on and keep the
+/// record that [`RolloutRecord::supersedes`] the others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutRecord {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// The version that its calls are to move to.
+    /// The new software version, which the service's calls are to move to.
     pub to: String,
-    /// Time for that from the order on.
+    /// Time from the order to the deadline of the roll-out.
     pub allowed: Duration,
-    /// Which order.
+    /// The order that began the roll-out.
     pub order: OrderId,
-    /// Counts the stages of this order.
+    /// Number of this stage among those of the order, from 0.
     pub step: u32,
-    /// How far it is.
+    /// Current stage.
     pub stage: RolloutStage,
-    /// Why.
+    /// Why the roll-out entered this stage.
     pub reason: StageReason,
-    /// The host whose daemon decided so.
+    /// The host whose daemon decided on this stage; empty for an order.
     pub decided_by: String,
-    /// Whether a final stage lies in the store.
+    /// Whether this stage is final and has been written to the store.
     pub is_written: bool,
-    /// New targets' hosts that calls on trial go to; all when empty.
+    /// Hosts of the new targets that get the trial's calls; all of them if empty.
     pub canaries: Vec<String>,
 }
 
 impl RolloutRecord {
-    /// The note of an order that just came.
+    /// The record of a new order: a trial that waits for its targets.
     #[must_use]
     pub fn ordered(service: &str, to: &str, allowed: Duration, order: OrderId) -> RolloutRecord {
         RolloutRecord {
@@ -106,7 +111,7 @@
         }
     }
 
-    /// The note of the next stage.
+    /// The record of the next stage of this roll-out.
     #[must_use]
     pub fn next(
         &self,
@@ -123,24 +128,27 @@
         }
     }
 
-    /// Whether both are of one order: by its id, or of the same text, given
-    /// again after the store came back from an older copy.
+    /// Whether both records belong to one order: the ids are equal, or one order
+    /// repeats the other (see [`RolloutRecord::is_repeated_by`]).
     #[must_use]
     pub fn is_same_order(&self, other: &RolloutRecord) -> bool {
         self.order == other.order || self.is_repeated_by(&other.to, other.allowed, other.order)
     }
 
-    /// Whether an order is this one, written again because the store came back
-    /// from an older copy.
+    /// Whether an order repeats this record's: it has the same version and time,
+    /// and was written again after the store was restored from an older copy.
     #[must_use]
     pub fn is_repeated_by(&self, to: &str, allowed: Duration, order: OrderId) -> bool {
         self.order.era != order.era && self.to == to && self.allowed == allowed
     }
 
-    /// Which of two notes of one service wins: the later order's; of one order
-    /// a final stage that is written, then any final one, then the later step,
-    /// then the further stage. Two that are decided at once may differ in what
-    /// is tried only: by the deciders' names, so that all daemons hold the same.
+    /// Whether this record wins over `other`, which is of the same service.
+    ///
+    /// The later order wins. Within one order, a final stage that is written wins,
+    /// then any final stage, then the later step, then the further stage. Two
+    /// daemons that decide at the same moment can still differ in their canaries;
+    /// the name of the deciding host breaks this tie, so that all daemons keep the
+    /// same record.
     #[must_use]
     pub fn supersedes(&self, other: &RolloutRecord) -> bool {
         if !self.is_same_order(other) {
@@ -159,13 +167,18 @@
         (finality, self.step, self.stage, decider, self.order)
     }
 
-    /// Where a call goes: drawn by a hash of its id, alike in all daemons.
-    /// `is_fresh` says whether the note was confirmed of late; a daemon that is
-    /// cut off sends nothing to a version on trial.
+    /// Versions that a call may go to. The trial's share is drawn by a hash of the
+    /// call's id, so that all daemons choose alike.
+    ///
+    /// `is_fresh` says whether a deciding daemon confirmed the record recently.
+    /// Otherwise this daemon may be cut off, and sends nothing to a version on
+    /// trial.
     #[must_use]
     pub fn version_preference(&self, call_id: &str, is_fresh: bool) -> VersionPreference {
         match self.stage {
-            RolloutStage::Trial { per_mille } if is_fresh && draw(call_id) < per_mille => {
+            RolloutStage::Trial { per_mille }
+                if is_fresh && per_mille_bucket(call_id) < per_mille =>
+            {
                 VersionPreference::PreferNew
             }
             RolloutStage::Trial { .. } | RolloutStage::RolledBack => VersionPreference::OldOnly,
@@ -173,7 +186,8 @@
         }
     }
 
-    /// Whether a target of `software` takes calls now.
+    /// Whether a target that runs version `software` takes calls now; for
+    /// `is_fresh` see [`RolloutRecord::version_preference`].
     #[must_use]
     pub fn admits(&self, software: &str, is_fresh: bool) -> bool {
         let is_new = software == self.to;
@@ -185,19 +199,19 @@
     }
 }
 
-/// Thousandth that a call's id falls into.
-fn draw(call_id: &str) -> u16 {
-    const PARTS: u64 = 1_000;
-    u16::try_from(XxHash64::oneshot(0, call_id.as_bytes()) % PARTS).unwrap_or_default()
+/// Maps a call's id to a number from 0 to 999, evenly.
+fn per_mille_bucket(call_id: &str) -> u16 {
+    const BUCKETS: u64 = 1_000;
+    u16::try_from(XxHash64::oneshot(0, call_id.as_bytes()) % BUCKETS).unwrap_or_default()
 }
 
-/// Targets that a call may go to, by their version.
+/// Versions whose targets a call may go to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionPreference {
-    /// Those of the new version; of the old one where none of them has room.
+    /// The new version, or the old one if no new target has room.
     PreferNew,
-    /// Not those of the new version.
+    /// Any version but the new one.
     OldOnly,
-    /// Those of the new version.
+    /// Only the new version.
     NewOnly,
 }
