--- a/crates/policy/src/rollout/judge.rs
+++ b/crates/policy/src/rollout/judge.rs
@@ -1,31 +1,33 @@
-//! Compares a new software version with the old one by what the targets of
-//! both made of their calls in the same seconds.
+//! Compares a new software version with the old one by how calls ended at the
+//! targets of both versions over the same time.
 //!
-//! For each target, each kind of call and each of several spans that end now,
-//! the evidence is a log likelihood ratio: bad answers at the rate of old
-//! targets in the same availability zone, against that rate plus
-//! [`LEAST_EFFECT`]. A span is one look of a sequential test; with
-//! [`BAD_EVIDENCE`] a look condemns a version that is as good as the old one
-//! once in a million times, a roll-out of a minute with some thousand looks
-//! less than once in a hundred. A version that is worse by the effect or more
-//! is found after some thirty calls if half of its answers are bad, after some
-//! hundreds if a tenth is.
+//! The evidence is a log likelihood ratio, computed for each new target, each kind
+//! of call and each of several spans that end now. It compares two hypotheses: bad
+//! answers occur at the rate of the old targets in the same availability zone, or
+//! at that rate plus [`MIN_EFFECT`].
 //!
-//! Load pattern: one or two of the new targets are ill by themselves, as one in
-//! seven targets may be at any time. The worst quarter of the targets does not
-//! count: an ill version is ill everywhere.
+//! Each evaluation of a span is one look of a sequential test. With
+//! [`BAD_EVIDENCE`], one look condemns a version that is as good as the old one
+//! once in a million times, and a roll-out of a minute with some thousand looks
+//! does so less than once in a hundred. A version that is worse by the effect or
+//! more is found after some thirty calls if half of its answers are bad, and after
+//! some hundreds if a tenth is.
+//!
+//! Load pattern: one or two of the new targets are faulty by themselves, as one in
+//! seven targets may be at any time. The worst quarter of the new targets does not
+//! count, as a faulty version is faulty on all targets.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use crate::numbers::count_of;
 
-/// Calls that ended, and those of them that ended badly.
+/// Number of calls that ended, and of those that ended badly.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallCounts {
     /// Calls that ended.
     pub ended: u64,
-    /// Those that failed, or took far longer than usual for their kind.
+    /// Calls that failed, or took far longer than usual for their kind.
     pub bad: u64,
 }
 
@@ -43,116 +45,120 @@
     }
 }
 
-/// Which side of the comparison a target is on.
+/// Side of the comparison that a target belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum VersionSide {
-    /// It runs the version that was ordered.
+    /// The target runs the version that the roll-out introduces.
     New,
-    /// It runs another.
+    /// The target runs another version.
     Old,
 }
 
-/// Counters of one start of a target's gate; they only grow.
+/// Counters of one target. They grow until the target is replaced or its daemon
+/// restarts; a count below the one before is taken for no calls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetCounts<'a> {
-    /// Names the start of the gate.
+    /// Identifies the target from one evaluation to the next.
     pub target_id: &'a str,
     /// The target's availability zone.
     pub zone: &'a str,
-    /// Its side.
+    /// Side of the comparison that the target belongs to.
     pub side: VersionSide,
-    /// By kind of call.
+    /// Counters by kind of call.
     pub kinds: Vec<(&'a str, CallCounts)>,
 }
 
-/// What the answers say of the new version.
+/// Result of comparing the new version with the old one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Verdict {
-    /// Strongest evidence for it being bad, in natural logarithms of the
-    /// likelihood ratio; negative when it looks good.
+    /// Strongest evidence that the new version is bad: the natural logarithm of
+    /// the likelihood ratio. Negative if the version looks good.
     pub evidence: f64,
-    /// The kind of call that shows it; `None` for all together.
+    /// Kind of call with the strongest evidence; `None` for all kinds together.
     pub kind: Option<String>,
-    /// Calls of the new version that ended.
+    /// Calls of the new version since the first evaluation.
     pub new_calls: CallCounts,
-    /// The same of the old version.
+    /// Calls of the old version since the first evaluation.
     pub old_calls: CallCounts,
-    /// The span over which that evidence was seen.
+    /// Length of the span with the strongest evidence.
     pub span: Duration,
-    /// Time over which calls were counted.
-    pub watched: Duration,
+    /// Time since the first evaluation.
+    pub observed: Duration,
 }
 
-/// Difference in the share of bad answers that is looked for.
-const LEAST_EFFECT: f64 = 0.12;
-/// Evidence that condemns a version.
+/// Smallest increase in the share of bad answers that the test is designed to find.
+const MIN_EFFECT: f64 = 0.12;
+/// Evidence from which a version is condemned.
 const BAD_EVIDENCE: f64 = 14.0;
-/// Evidence up to which nothing speaks against a version.
-const CLEAR_EVIDENCE: f64 = 3.0;
-/// Bad answers that a verdict rests on at least.
-const LEAST_BAD: u64 = 8;
-/// Bounds of the old version's share of bad answers.
-const LEAST_RATE: f64 = 0.005;
-const MOST_RATE: f64 = 0.8;
-/// Share of bad answers and number of calls that are taken to have been seen
-/// of each kind before.
+/// Evidence below which a version looks good.
+const GOOD_EVIDENCE: f64 = 3.0;
+/// Fewest bad answers of the new version that condemn it.
+const MIN_BAD_ANSWERS: u64 = 8;
+/// Lower bound of the old version's estimated share of bad answers.
+const MIN_OLD_RATE: f64 = 0.005;
+/// Upper bound of the old version's estimated share of bad answers.
+const MAX_OLD_RATE: f64 = 0.8;
+/// Share of bad answers among the [`PRIOR_CALLS`].
 const PRIOR_RATE: f64 = 0.02;
+/// Number of imaginary earlier calls of each kind, the prior of an estimated rate.
 const PRIOR_CALLS: f64 = 20.0;
-/// Calls of old targets in a zone that make a rate of its own.
-const ZONE_CALLS: u64 = 40;
-/// One in so many targets may be ill by itself.
-const ILL_ONE_IN: usize = 4;
-/// Targets from which on the worst do not count.
-const TELLS_ILL: usize = 3;
+/// Fewest calls of old targets in a zone for which the zone has its own rate.
+const MIN_ZONE_CALLS: u64 = 40;
+/// One in this many new targets, rounded up, is left out as possibly faulty.
+const OUTLIER_ONE_IN: usize = 4;
+/// Fewest new targets for which the worst are left out.
+const MIN_TARGETS_FOR_OUTLIERS: usize = 3;
 
 impl Verdict {
     /// Whether the version is condemned.
     #[must_use]
     pub fn is_bad(&self) -> bool {
-        self.evidence >= BAD_EVIDENCE && self.new_calls.bad >= LEAST_BAD
+        self.evidence >= BAD_EVIDENCE && self.new_calls.bad >= MIN_BAD_ANSWERS
     }
 
-    /// Whether nothing speaks against it.
+    /// Whether the evidence does not speak against the version.
     #[must_use]
-    pub fn is_clear(&self) -> bool {
-        self.evidence < CLEAR_EVIDENCE
+    pub fn looks_good(&self) -> bool {
+        self.evidence < GOOD_EVIDENCE
     }
 
-    /// Calls that it rests on.
+    /// Number of calls of the new version that the verdict is based on.
     #[must_use]
     pub fn new_call_count(&self) -> u64 {
         self.new_calls.ended
     }
 
-    /// Calls of both versions together.
+    /// Number of calls of both versions together.
     #[must_use]
-    pub fn all_calls(&self) -> u64 {
+    pub fn total_call_count(&self) -> u64 {
         self.new_calls.ended + self.old_calls.ended
     }
 
-    /// Calls a second to the service.
+    /// Calls per second to the service; 0 before the second evaluation.
     #[must_use]
-    pub fn rate(&self) -> f64 {
-        let seconds = self.watched.as_secs_f64();
+    pub fn call_rate(&self) -> f64 {
+        let seconds = self.observed.as_secs_f64();
         if seconds > 0.0 {
-            calls(self.all_calls()) / seconds
+            call_count(self.total_call_count()) / seconds
         } else {
             0.0
         }
     }
 }
 
+/// Counters by target and kind of call.
 type Snapshot = BTreeMap<(String, String), CallCounts>;
 
-/// Follows the counters of one roll-out.
+/// Evaluates the counters of one roll-out.
 #[derive(Clone, Debug, Default)]
 pub struct CanaryJudge {
-    /// Counters at moments that lie ever farther apart, oldest first.
+    /// Earlier counters, oldest first; the older, the farther apart in time.
     snapshots: Vec<(Instant, Snapshot)>,
 }
 
 impl CanaryJudge {
-    /// Takes the counters as they are at `now`, and says what they show.
+    /// Evaluates the counters at `now` against all earlier snapshots, and keeps them
+    /// as a new one.
     pub fn evaluate(&mut self, targets: &[TargetCounts<'_>], now: Instant) -> Verdict {
         let mut verdict = Verdict::default();
         let mut is_first = true;
@@ -168,7 +174,7 @@
             }
         }
         if let Some((began, first)) = self.snapshots.first() {
-            verdict.watched = now.saturating_duration_since(*began);
+            verdict.observed = now.saturating_duration_since(*began);
             let span = SpanCounts::new(targets, first);
             verdict.new_calls = span.total(VersionSide::New);
             verdict.old_calls = span.total(VersionSide::Old);
@@ -178,7 +184,8 @@
         verdict
     }
 
-    /// Drops snapshots between others of about the same age.
+    /// Drops each snapshot whose older neighbour is at most twice as old as its newer
+    /// one, so that the spans roughly double in length. The oldest two are kept.
     fn thin_out(&mut self, now: Instant) {
         let age = |at: Instant| now.saturating_duration_since(at);
         let mut index = 1;
@@ -204,14 +211,14 @@
     snapshot
 }
 
-/// One target's counters over a span.
+/// Calls of one target over a span.
 struct TargetSpan<'a> {
     zone: &'a str,
     side: VersionSide,
     kinds: Vec<(&'a str, CallCounts)>,
 }
 
-/// All counters over a span that ends now.
+/// Calls of all targets over a span that ends now.
 struct SpanCounts<'a> {
     targets: Vec<TargetSpan<'a>>,
 }
@@ -248,7 +255,8 @@
         total
     }
 
-    /// Evidence against the new version, by kind of call and over all.
+    /// Evidence against the new version, for all kinds of call together (`None`) and
+    /// for each kind.
     fn evidence(&self) -> Vec<(Option<String>, f64)> {
         let rates = OldRates::new(&self.targets);
         let mut by_kind: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
@@ -264,7 +272,7 @@
                     continue;
                 }
                 has_calls = true;
-                let evidence = evidence_of(*counts, rates.rate(target.zone, kind));
+                let evidence = log_likelihood_ratio(*counts, rates.rate(target.zone, kind));
                 by_kind.entry(kind).or_default().push(evidence);
                 sum += evidence;
             }
@@ -272,39 +280,40 @@
                 overall.push(sum);
             }
         }
-        let mut evidence = vec![(None, without_worst(overall))];
-        for (kind, of_targets) in by_kind {
-            evidence.push((Some(kind.to_owned()), without_worst(of_targets)));
+        let mut evidence = vec![(None, sum_without_worst(overall))];
+        for (kind, by_target) in by_kind {
+            evidence.push((Some(kind.to_owned()), sum_without_worst(by_target)));
         }
         evidence
     }
 }
 
-/// Log likelihood ratio of `counts` under a rate of bad answers that is worse
-/// by the least effect, against `rate`.
-fn evidence_of(counts: CallCounts, rate: f64) -> f64 {
-    let worse = rate + LEAST_EFFECT;
-    let bad = calls(counts.bad);
-    let good = calls(counts.ended) - bad;
+/// Log likelihood ratio of `counts`: bad answers at `rate` plus [`MIN_EFFECT`],
+/// against bad answers at `rate`.
+fn log_likelihood_ratio(counts: CallCounts, rate: f64) -> f64 {
+    let worse = rate + MIN_EFFECT;
+    let bad = call_count(counts.bad);
+    let good = call_count(counts.ended) - bad;
     bad * (worse / rate).ln() + good * ((1.0 - worse) / (1.0 - rate)).ln()
 }
 
-/// The sum of `of_targets` without those that speak loudest against the version.
-fn without_worst(mut of_targets: Vec<f64>) -> f64 {
-    of_targets.sort_by(f64::total_cmp);
-    let left_out = if of_targets.len() < TELLS_ILL {
+/// Sum of the targets' evidence, without the targets that have the most evidence
+/// against the version.
+fn sum_without_worst(mut by_target: Vec<f64>) -> f64 {
+    by_target.sort_by(f64::total_cmp);
+    let left_out = if by_target.len() < MIN_TARGETS_FOR_OUTLIERS {
         0
     } else {
-        of_targets.len().div_ceil(ILL_ONE_IN)
+        by_target.len().div_ceil(OUTLIER_ONE_IN)
     };
-    of_targets.iter().take(of_targets.len() - left_out).sum()
+    by_target.iter().take(by_target.len() - left_out).sum()
 }
 
-fn calls(count: u64) -> f64 {
+fn call_count(count: u64) -> f64 {
     count_of(usize::try_from(count).unwrap_or(usize::MAX))
 }
 
-/// Shares of bad answers of old targets.
+/// Estimated shares of bad answers of the old targets.
 struct OldRates<'a> {
     by_zone: BTreeMap<(&'a str, &'a str), CallCounts>,
     by_kind: BTreeMap<&'a str, CallCounts>,
@@ -332,21 +341,24 @@
         rates
     }
 
-    /// The zone's own rate where it has enough calls, else the fleet's for
-    /// that kind, else the fleet's for all kinds. Never below the fleet's:
-    /// a zone's few calls may all have gone well.
+    /// Rate of bad answers of old targets for a zone and a kind of call.
+    ///
+    /// This is the zone's own rate if the zone has enough calls, otherwise the
+    /// fleet's rate for that kind, or for all kinds if the kind is unknown. It is
+    /// never below the fleet's rate, as a zone's few calls may all have gone well.
     fn rate(&self, zone: &str, kind: &str) -> f64 {
         let of_zone = self.by_zone.get(&(zone, kind));
         let of_kind = self.by_kind.get(kind).copied().unwrap_or(self.all);
-        let fleet = share_of_bad(of_kind);
+        let fleet = bad_share(of_kind);
         let rate = match of_zone {
-            Some(counts) if counts.ended >= ZONE_CALLS => share_of_bad(*counts).max(fleet),
+            Some(counts) if counts.ended >= MIN_ZONE_CALLS => bad_share(*counts).max(fleet),
             _ => fleet,
         };
-        rate.clamp(LEAST_RATE, MOST_RATE)
+        rate.clamp(MIN_OLD_RATE, MAX_OLD_RATE)
     }
 }
 
-fn share_of_bad(counts: CallCounts) -> f64 {
-    (calls(counts.bad) + PRIOR_RATE * PRIOR_CALLS) / (calls(counts.ended) + PRIOR_CALLS)
+/// Estimated share of bad answers, with a prior so that few calls do not decide.
+fn bad_share(counts: CallCounts) -> f64 {
+    (call_count(counts.bad) + PRIOR_RATE * PRIOR_CALLS) / (call_count(counts.ended) + PRIOR_CALLS)
 }
--- a/crates/policy/src/rollout/schedule.rs
+++ b/crates/policy/src/rollout/schedule.rs
@@ -1,10 +1,10 @@
-//! When a roll-out goes on to its next stage.
+//! Decides when a roll-out moves to its next stage, and how many calls a trial gets.
 //!
-//! Load pattern: a fleet whose calls leave the old version little room to spare
-//! tries one that fails only when its targets are as full as the old ones are.
-//! Spread over all new targets, a share that may be risked leaves each of them
-//! nearly idle, and the fault shows as all calls move. So a trial's calls go to
-//! a few of them.
+//! Load pattern: the targets of the old version are nearly full, and the new
+//! version fails only when its targets are as full. Spread over all new targets,
+//! the share of calls that a trial may risk would leave each of them nearly idle,
+//! and the fault would show only after all calls have moved. A trial therefore
+//! sends its calls to a few new targets, the canaries.
 
 use std::time::Duration;
 
@@ -12,115 +12,120 @@
 use super::record::{RolloutStage, StageReason};
 use crate::numbers::{count_of, whole_of};
 
-/// What a roll-out may risk and how its calls are spent.
+/// Limits on the calls that a bad version may get, and how a trial uses them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ExposureBudget {
     /// Share of the service's calls, from the order to its deadline, that a bad
-    /// version may get.
+    /// version may get; 0 to 1.
     pub share: f64,
-    /// Calls that it may get beyond that share.
+    /// Number of calls that a bad version may get beyond that share.
     pub slack: f64,
-    /// Longest time that a call at an old target takes to end.
+    /// Longest time that a call takes to end at an old target.
     pub longest_call: Duration,
-    /// Where trial calls go.
+    /// New targets that get the trial's calls.
     pub placement: TrialPlacement,
 }
 
-/// Where calls on trial go.
+/// New targets that get a trial's calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrialPlacement {
-    /// To as many new targets as are then about as full as the old ones.
+    /// As many as the trial's calls make about as full as the old targets.
     FewTargets,
-    /// To all new targets.
+    /// All new targets.
     AllTargets,
 }
 
-/// Part of the risked share that trial calls take. What is left covers the
-/// calls between a fault that shows only later and its discovery.
-const TRIAL_PART: f64 = 0.6;
-/// Part of the calls beyond that share that trial calls take. They tell where a
-/// service has few calls.
-const SLACK_PART: f64 = 0.5;
-/// Thousandths of the calls that a trial takes at most.
-const MOST_PER_MILLE: f64 = 500.0;
-/// New targets on trial at least: one in each of three availability zones, and
-/// enough to tell one ill target from an ill version.
-const LEAST_CANARIES: usize = 3;
-/// Time before the move in which more calls are tried.
-const RAMP: Duration = Duration::from_millis(700);
-/// Thousandths of the calls that go to the new version in it.
+/// Part of [`ExposureBudget::share`] that a trial uses. The rest covers the calls
+/// between a fault that appears only later and its detection.
+const TRIAL_SHARE_FRACTION: f64 = 0.6;
+/// Part of [`ExposureBudget::slack`] that a trial uses. These calls make a verdict
+/// possible for a service with few calls.
+const TRIAL_SLACK_FRACTION: f64 = 0.5;
+/// Most calls of each thousand that a first trial gets.
+const MAX_TRIAL_PER_MILLE: f64 = 500.0;
+/// Fewest canaries: one in each of three availability zones, and enough to tell one
+/// faulty target from a faulty version.
+const MIN_CANARIES: usize = 3;
+/// Time before the move for which the trial is enlarged to [`RAMP_PER_MILLE`].
+const RAMP_TIME: Duration = Duration::from_millis(700);
+/// Calls of each thousand that go to the new version during the ramp.
 const RAMP_PER_MILLE: u16 = 250;
-/// Time beyond the longest call between the move and the deadline: the word of
-/// the move is on its way, and that of the end.
-const END_MARGIN: Duration = Duration::from_millis(1_500);
-/// Least part of the allowed time before the move.
-const LEAST_TRIAL: f64 = 0.5;
-/// Calls that are under way to old targets when the move is decided have got
-/// there, or were declined, after this.
-const MOVE_SETTLES: Duration = Duration::from_millis(600);
-/// Time before the deadline at which the end is written whatever is at work.
-const LAST_CHANCE: Duration = Duration::from_millis(500);
-/// Calls that a verdict rests on at least.
-const LEAST_CALLS: u64 = 40;
-/// The same for a service that has fewer than [`QUIET_CALLS`] during a trial.
-const FEW_CALLS: u64 = 5;
-const QUIET_CALLS: u64 = 800;
-/// Time without another target of the new version after which all are taken to
-/// be there: they start within a second or two of each other.
-const STEADY_FOR: Duration = Duration::from_millis(600);
-/// Part of the allowed time after which a trial begins with those that are.
-const LATEST_BEGIN: f64 = 0.25;
-/// Time before the deadline at which an order without targets is given up.
+/// Time between the move and the deadline, beyond the longest call: the messages
+/// about the move and about its completion need time to arrive.
+const COMPLETION_MARGIN: Duration = Duration::from_millis(1_500);
+/// Least part of the allowed time that passes before the move.
+const MIN_TRIAL_FRACTION: f64 = 0.5;
+/// Time after the move within which calls that were on their way to old targets
+/// have arrived or were declined.
+const MOVE_SETTLE_TIME: Duration = Duration::from_millis(600);
+/// Time before the deadline at which a moved roll-out completes, even if calls are
+/// still running at old targets.
+const FORCED_COMPLETION_BEFORE: Duration = Duration::from_millis(500);
+/// Fewest calls of the new version that a good verdict is based on.
+const MIN_VERDICT_CALLS: u64 = 40;
+/// The same for a quiet service, which has fewer than [`QUIET_SERVICE_CALLS`].
+const MIN_QUIET_VERDICT_CALLS: u64 = 5;
+/// Calls of both versions during a roll-out below which a service counts as quiet.
+const QUIET_SERVICE_CALLS: u64 = 800;
+/// Time without a change in the number of new targets after which all of them are
+/// taken to have started: they start within a second or two of each other.
+const TARGETS_STABLE_TIME: Duration = Duration::from_millis(600);
+/// Part of the allowed time after which a trial begins with the new targets that
+/// have started, even if their number still changes.
+const LATEST_TRIAL_START: f64 = 0.25;
+/// Time before the deadline at which a roll-out that has not moved is rolled back.
 const GIVE_UP_BEFORE: Duration = Duration::from_secs(1);
 
-/// A roll-out as its decider sees it.
+/// State of a roll-out as the deciding daemon sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutView {
-    /// How far it is.
+    /// Current stage.
     pub stage: RolloutStage,
-    /// Time since that stage began.
+    /// Time since the stage began.
     pub stage_age: Duration,
     /// Time since the order.
     pub elapsed: Duration,
-    /// Time allowed from the order on.
+    /// Time from the order to the deadline.
     pub allowed: Duration,
-    /// Open targets of the new version.
+    /// Targets of the new version that take calls.
     pub new_targets: usize,
-    /// Time since their number last changed.
+    /// Time since the number of new targets last changed.
     pub new_targets_stable_for: Duration,
-    /// Open targets of the old version.
+    /// Targets of the old version that take calls.
     pub old_targets: usize,
-    /// What the answers say.
+    /// Comparison of the new version with the old one.
     pub verdict: Verdict,
-    /// Calls at work or waiting at old targets, as last told.
+    /// Calls that run or wait at old targets, as last reported.
     pub old_at_work: u32,
-    /// Old targets whose daemons have not told of late, or do not know yet
-    /// that the calls move.
+    /// Old targets whose daemons sent no recent report, or do not know the current
+    /// stage yet.
     pub old_unheard: usize,
 }
 
-/// How a trial's calls are spent.
+/// Calls and targets of a trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrialSize {
-    /// Thousandths of the calls.
+    /// Calls of each thousand that go to the new version.
     pub per_mille: u16,
-    /// New targets that they go to.
+    /// Number of new targets that get these calls.
     pub canaries: usize,
 }
 
 impl ExposureBudget {
-    /// How the calls of a trial are spent that begins with `view`.
+    /// Size of a trial that begins now, in the state `view`.
     #[must_use]
     pub fn trial_size(&self, view: &RolloutView) -> TrialSize {
         let (new, old) = (view.new_targets, view.old_targets);
         let trial_time = self.move_at(view.allowed).saturating_sub(view.elapsed);
-        let expected = (view.verdict.rate() * trial_time.as_secs_f64()).max(1.0);
-        let share = self.share * TRIAL_PART + self.slack * SLACK_PART / expected;
-        let per_mille = whole_of((share * 1_000.0).min(MOST_PER_MILLE));
+        let expected = (view.verdict.call_rate() * trial_time.as_secs_f64()).max(1.0);
+        let share =
+            self.share * TRIAL_SHARE_FRACTION + self.slack * TRIAL_SLACK_FRACTION / expected;
+        let per_mille = whole_of((share * 1_000.0).min(MAX_TRIAL_PER_MILLE));
         let per_mille = u16::try_from(per_mille).unwrap_or(u16::MAX);
-        let alike = usize::try_from(whole_of((share * count_of(old)).round())).unwrap_or(new);
+        let equally_full =
+            usize::try_from(whole_of((share * count_of(old)).round())).unwrap_or(new);
         let canaries = match self.placement {
-            TrialPlacement::FewTargets => alike.max(LEAST_CANARIES).min(new),
+            TrialPlacement::FewTargets => equally_full.max(MIN_CANARIES).min(new),
             TrialPlacement::AllTargets => new,
         };
         TrialSize {
@@ -129,16 +134,20 @@
         }
     }
 
-    /// When all calls move, counted from the order: late, so that what turns
-    /// bad after some time was seen before, and with time for the old targets'
-    /// calls to end before the deadline.
+    /// Time from the order to the move of all calls to the new version.
+    ///
+    /// The move is late, so that a fault that appears only after some time is
+    /// found in the trial. It leaves time for the calls at old targets to end
+    /// before the deadline, but not if the trial would get less than half of the
+    /// allowed time.
     #[must_use]
     pub fn move_at(&self, allowed: Duration) -> Duration {
-        let latest = allowed.saturating_sub(self.longest_call + END_MARGIN);
-        latest.max(allowed.mul_f64(LEAST_TRIAL))
+        let latest = allowed.saturating_sub(self.longest_call + COMPLETION_MARGIN);
+        latest.max(allowed.mul_f64(MIN_TRIAL_FRACTION))
     }
 
-    /// The stage that comes next, if it is time for one.
+    /// The stage to enter now and the reason for it; `None` to stay in the current
+    /// stage.
     #[must_use]
     pub fn next_stage(&self, view: &RolloutView) -> Option<(RolloutStage, StageReason)> {
         let rolled_back = |reason| Some((RolloutStage::RolledBack, reason));
@@ -149,42 +158,48 @@
             return rolled_back(StageReason::LooksBad);
         }
         match view.stage {
-            RolloutStage::Trial { per_mille: 0 } => self.begin(view),
-            RolloutStage::Trial { per_mille } => self.go_on(view, per_mille),
-            RolloutStage::Moved => end(view),
+            RolloutStage::Trial { per_mille: 0 } => self.stage_after_waiting(view),
+            RolloutStage::Trial { per_mille } => self.stage_after_trial(view, per_mille),
+            RolloutStage::Moved => stage_after_move(view),
             RolloutStage::RolledBack | RolloutStage::Completed => None,
         }
     }
 
-    fn begin(&self, view: &RolloutView) -> Option<(RolloutStage, StageReason)> {
+    /// Next stage of a roll-out that waits for its targets.
+    fn stage_after_waiting(&self, view: &RolloutView) -> Option<(RolloutStage, StageReason)> {
         if view.elapsed + GIVE_UP_BEFORE >= view.allowed {
             return Some((RolloutStage::RolledBack, StageReason::NoTargets));
         }
-        let is_all_here = view.new_targets_stable_for >= STEADY_FOR
-            || view.elapsed >= view.allowed.mul_f64(LATEST_BEGIN);
-        if view.new_targets > 0 && is_all_here {
-            let terms = self.trial_size(view);
+        let are_targets_started = view.new_targets_stable_for >= TARGETS_STABLE_TIME
+            || view.elapsed >= view.allowed.mul_f64(LATEST_TRIAL_START);
+        if view.new_targets > 0 && are_targets_started {
+            let trial = self.trial_size(view);
             let stage = RolloutStage::Trial {
-                per_mille: terms.per_mille,
+                per_mille: trial.per_mille,
             };
             return Some((stage, StageReason::TargetsReady));
         }
         None
     }
 
-    fn go_on(&self, view: &RolloutView, per_mille: u16) -> Option<(RolloutStage, StageReason)> {
+    /// Next stage of a trial: the ramp, then the move. A trial that is as large as the
+    /// ramp moves without one.
+    fn stage_after_trial(
+        &self,
+        view: &RolloutView,
+        per_mille: u16,
+    ) -> Option<(RolloutStage, StageReason)> {
         let move_at = self.move_at(view.allowed);
-        let looks_good = view.verdict.is_clear() && is_known(&view.verdict);
+        let is_good = view.verdict.looks_good() && has_enough_calls(&view.verdict);
         if view.elapsed + GIVE_UP_BEFORE >= view.allowed {
             return Some((RolloutStage::RolledBack, StageReason::TimeUp));
         }
         if per_mille >= RAMP_PER_MILLE {
-            let is_ripe = view.stage_age >= RAMP && view.elapsed >= move_at;
-            return (is_ripe && looks_good)
-                .then_some((RolloutStage::Moved, StageReason::LooksGood));
+            let is_due = view.stage_age >= RAMP_TIME && view.elapsed >= move_at;
+            return (is_due && is_good).then_some((RolloutStage::Moved, StageReason::LooksGood));
         }
-        let is_ripe = view.elapsed + RAMP >= move_at;
-        (is_ripe && looks_good).then_some((
+        let is_due = view.elapsed + RAMP_TIME >= move_at;
+        (is_due && is_good).then_some((
             RolloutStage::Trial {
                 per_mille: RAMP_PER_MILLE,
             },
@@ -193,22 +208,27 @@
     }
 }
 
-/// Whether a verdict rests on as many calls as the service gives.
-fn is_known(verdict: &Verdict) -> bool {
-    let is_unused = verdict.all_calls() < FEW_CALLS;
-    let is_quiet = verdict.all_calls() < QUIET_CALLS;
-    let least = if is_quiet { FEW_CALLS } else { LEAST_CALLS };
-    is_unused || verdict.new_call_count() >= least
+/// Whether a verdict is based on enough calls for a service with this many. A
+/// service that is hardly called at all passes.
+fn has_enough_calls(verdict: &Verdict) -> bool {
+    let is_unused = verdict.total_call_count() < MIN_QUIET_VERDICT_CALLS;
+    let is_quiet = verdict.total_call_count() < QUIET_SERVICE_CALLS;
+    let min_calls = if is_quiet {
+        MIN_QUIET_VERDICT_CALLS
+    } else {
+        MIN_VERDICT_CALLS
+    };
+    is_unused || verdict.new_call_count() >= min_calls
 }
 
-/// Whether the old targets may end.
-fn end(view: &RolloutView) -> Option<(RolloutStage, StageReason)> {
+/// Next stage after the move: completed, once the old targets may be stopped.
+fn stage_after_move(view: &RolloutView) -> Option<(RolloutStage, StageReason)> {
     let completed = |reason| Some((RolloutStage::Completed, reason));
-    if view.elapsed + LAST_CHANCE >= view.allowed {
+    if view.elapsed + FORCED_COMPLETION_BEFORE >= view.allowed {
         return completed(StageReason::OldUnheard);
     }
     let is_idle = view.old_at_work == 0 && view.old_unheard == 0;
-    if view.stage_age >= MOVE_SETTLES && is_idle {
+    if view.stage_age >= MOVE_SETTLE_TIME && is_idle {
         return completed(StageReason::OldIdle);
     }
     None
--- a/crates/policy/tests/rollout_replay.rs
+++ b/crates/policy/tests/rollout_replay.rs
@@ -1,5 +1,5 @@
-//! Replays roll-outs: calls of a second at a time at old and new targets, as
-//! their gates would count them, judged as a decider would.
+//! Replays roll-outs: simulated calls to old and new targets are counted as daemons
+//! count them, and evaluated in each interval as a deciding daemon does.
 
 use std::time::{Duration, Instant};
 
@@ -8,26 +8,26 @@
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
 
-/// Pause between two looks of a decider.
-const LOOK: Duration = Duration::from_millis(250);
-/// Looks in ten seconds of trial.
-const LOOKS: usize = 40;
+/// Interval between two evaluations.
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(250);
+/// Evaluations in a trial of ten seconds.
+const EVALUATIONS: usize = 40;
 const ZONES: [&str; 3] = ["a", "b", "c"];
-/// Kinds of call and their share of the calls.
+/// Kinds of call and their shares of the calls.
 const KINDS: [(&str, f64); 2] = [("reads", 0.97), ("rare", 0.03)];
 
-/// What one target makes of its calls.
+/// How a target answers its calls.
 #[derive(Clone, Copy)]
-struct Illness {
-    /// Share of bad answers.
+struct TargetBehaviour {
+    /// Share of bad answers, 0 to 1.
     bad: f64,
-    /// Kind of call to which it is confined.
+    /// Kind of call that shows this share; all kinds if `None`.
     only: Option<&'static str>,
-    /// Look from which it shows.
+    /// Index of the evaluation from which on the share applies.
     from: usize,
 }
 
-const WELL: Illness = Illness {
+const HEALTHY: TargetBehaviour = TargetBehaviour {
     bad: 0.01,
     only: None,
     from: 0,
@@ -36,39 +36,47 @@
 struct Fleet {
     names: Vec<String>,
     counts: Vec<[CallCounts; 2]>,
-    ills: Vec<Illness>,
-    /// Old targets come first.
+    behaviours: Vec<TargetBehaviour>,
+    /// Number of old targets, which come before the new ones.
     old: usize,
-    /// Calls at a target in one look.
+    /// Calls to each target per interval.
     calls: usize,
 }
 
 impl Fleet {
-    fn new(old: &[Illness], new: &[Illness], calls: usize) -> Fleet {
-        let ills: Vec<Illness> = old.iter().chain(new).copied().collect();
+    fn new(old: &[TargetBehaviour], new: &[TargetBehaviour], calls: usize) -> Fleet {
+        let behaviours: Vec<TargetBehaviour> = old.iter().chain(new).copied().collect();
         Fleet {
-            names: (0..ills.len()).map(|target| format!("t{target}")).collect(),
-            counts: vec![[CallCounts::default(); 2]; ills.len()],
-            ills,
+            names: (0..behaviours.len())
+                .map(|target| format!("t{target}"))
+                .collect(),
+            counts: vec![[CallCounts::default(); 2]; behaviours.len()],
+            behaviours,
             old: old.len(),
             calls,
         }
     }
 
-    fn serve(&mut self, look: usize, rng: &mut StdRng) {
-        for (counts, ill) in self.counts.iter_mut().zip(&self.ills) {
+    /// Runs the calls of one interval.
+    fn serve(&mut self, evaluation: usize, rng: &mut StdRng) {
+        for (counts, behaviour) in self.counts.iter_mut().zip(&self.behaviours) {
             for _ in 0..self.calls {
                 let kind = usize::from(rng.random::<f64>() > KINDS[0].1);
-                let shows = look >= ill.from && ill.only.is_none_or(|only| only == KINDS[kind].0);
-                let share = if shows { ill.bad } else { WELL.bad };
+                let is_faulty = evaluation >= behaviour.from
+                    && behaviour.only.is_none_or(|only| only == KINDS[kind].0);
+                let share = if is_faulty {
+                    behaviour.bad
+                } else {
+                    HEALTHY.bad
+                };
                 counts[kind].ended += 1;
                 counts[kind].bad += u64::from(rng.random::<f64>() < share);
             }
         }
     }
 
-    fn read(&self) -> Vec<TargetCounts<'_>> {
-        let read_one = |target: usize| TargetCounts {
+    fn counts(&self) -> Vec<TargetCounts<'_>> {
+        let counts_of = |target: usize| TargetCounts {
             target_id: self.names[target].as_str(),
             zone: ZONES[target % ZONES.len()],
             side: if target < self.old {
@@ -82,74 +90,85 @@
                 .map(|((kind, _), counts)| (*kind, counts))
                 .collect(),
         };
-        (0..self.names.len()).map(read_one).collect()
+        (0..self.names.len()).map(counts_of).collect()
     }
 }
 
-/// Plays ten seconds; the look at which the new version was condemned, and the
-/// last verdict.
-fn play(old: &[Illness], new: &[Illness], calls: usize, seed: u64) -> (Option<usize>, Verdict) {
+/// Simulates ten seconds. Returns the index of the evaluation that condemned the new
+/// version, if one did, and the last verdict.
+fn replay(
+    old: &[TargetBehaviour],
+    new: &[TargetBehaviour],
+    calls: usize,
+    seed: u64,
+) -> (Option<usize>, Verdict) {
     let mut fleet = Fleet::new(old, new, calls);
     let mut rng = StdRng::seed_from_u64(seed);
     let mut judge = CanaryJudge::default();
     let start = Instant::now();
-    let mut last = judge.evaluate(&fleet.read(), start);
-    for look in 0..LOOKS {
-        fleet.serve(look, &mut rng);
-        let now = start + LOOK * (u32::try_from(look).unwrap_or(0) + 1);
-        last = judge.evaluate(&fleet.read(), now);
+    let mut last = judge.evaluate(&fleet.counts(), start);
+    for evaluation in 0..EVALUATIONS {
+        fleet.serve(evaluation, &mut rng);
+        let now = start + EVALUATION_INTERVAL * (u32::try_from(evaluation).unwrap_or(0) + 1);
+        last = judge.evaluate(&fleet.counts(), now);
         if last.is_bad() {
-            return (Some(look), last);
+            return (Some(evaluation), last);
         }
     }
     (None, last)
 }
 
-fn ill(bad: f64) -> Illness {
-    Illness { bad, ..WELL }
+fn faulty(bad: f64) -> TargetBehaviour {
+    TargetBehaviour { bad, ..HEALTHY }
 }
 
-/// A way of being bad, and the looks in which it has to be found once it shows.
+/// A fault of the new version, and the evaluation by which it has to be found. A
+/// version is not condemned before its fault shows.
 #[rstest]
-#[case::at_once(ill(0.5), 3)]
-#[case::mildly(ill(0.25), 8)]
-#[case::later(Illness { bad: 0.5, only: None, from: 20 }, 24)]
-#[case::on_the_rare_route(Illness { bad: 0.6, only: Some("rare"), from: 0 }, 40)]
-fn a_bad_version_is_condemned(#[case] way: Illness, #[case] within: usize) {
+#[case::at_once(faulty(0.5), 3)]
+#[case::mildly(faulty(0.25), 8)]
+#[case::later(TargetBehaviour { bad: 0.5, only: None, from: 20 }, 24)]
+#[case::on_the_rare_route(TargetBehaviour { bad: 0.6, only: Some("rare"), from: 0 }, 40)]
+fn a_bad_version_is_condemned(#[case] behaviour: TargetBehaviour, #[case] within: usize) {
     for seed in 0..20 {
-        let (found, verdict) = play(&[WELL; 12], &[way; 4], 10, seed);
+        let (found, verdict) = replay(&[HEALTHY; 12], &[behaviour; 4], 10, seed);
         assert!(
-            found.is_some_and(|look| look >= way.from && look <= within),
+            found.is_some_and(|evaluation| evaluation >= behaviour.from && evaluation <= within),
             "seed {seed}: {found:?}, {verdict:?}"
         );
     }
 }
 
-/// Troubles that are not the new version's.
+/// Guards against a good version that is condemned for faults of single targets, of
+/// both versions, or of an availability zone.
 #[rstest]
-#[case::none(vec![WELL; 12], vec![WELL; 4])]
-#[case::one_new_target_is_ill(vec![WELL; 12], vec![ill(0.5), WELL, WELL, WELL])]
-#[case::both_versions_are_ill(vec![ill(0.3); 12], vec![ill(0.3); 4])]
-#[case::some_old_targets_are_ill(vec![ill(0.6), ill(0.6), WELL, WELL, WELL, WELL], vec![WELL; 4])]
+#[case::none(vec![HEALTHY; 12], vec![HEALTHY; 4])]
+#[case::one_new_target_is_ill(vec![HEALTHY; 12], vec![faulty(0.5), HEALTHY, HEALTHY, HEALTHY])]
+#[case::both_versions_are_ill(vec![faulty(0.3); 12], vec![faulty(0.3); 4])]
+#[case::some_old_targets_are_ill(vec![faulty(0.6), faulty(0.6), HEALTHY, HEALTHY, HEALTHY, HEALTHY], vec![HEALTHY; 4])]
 #[case::one_zone_is_ill(
-    vec![ill(0.4), WELL, WELL, ill(0.4), WELL, WELL, ill(0.4), WELL, WELL],
-    vec![ill(0.4), WELL, WELL]
+    vec![faulty(0.4), HEALTHY, HEALTHY, faulty(0.4), HEALTHY, HEALTHY, faulty(0.4), HEALTHY, HEALTHY],
+    vec![faulty(0.4), HEALTHY, HEALTHY]
 )]
-fn a_good_version_is_not_condemned(#[case] old: Vec<Illness>, #[case] new: Vec<Illness>) {
+fn a_good_version_is_not_condemned(
+    #[case] old: Vec<TargetBehaviour>,
+    #[case] new: Vec<TargetBehaviour>,
+) {
     for seed in 0..200 {
-        let (found, verdict) = play(&old, &new, 10, seed);
+        let (found, verdict) = replay(&old, &new, 10, seed);
         assert_eq!(found, None, "seed {seed}: {verdict:?}");
     }
 }
 
-/// Guards against a bad version that hides behind an old one that is ill too.
+/// Guards against a bad version that passes because some old targets are faulty and
+/// raise the rate that it is compared with.
 #[test]
-fn a_bad_version_does_not_hide_behind_an_ill_old_one() {
+fn a_bad_version_is_condemned_although_old_targets_are_faulty() {
     for seed in 0..20 {
-        let old = [ill(0.5), ill(0.5), WELL, WELL, WELL, WELL];
-        let (found, verdict) = play(&old, &[ill(0.6); 4], 10, seed);
+        let old = [faulty(0.5), faulty(0.5), HEALTHY, HEALTHY, HEALTHY, HEALTHY];
+        let (found, verdict) = replay(&old, &[faulty(0.6); 4], 10, seed);
         assert!(
-            found.is_some_and(|look| look < 20),
+            found.is_some_and(|evaluation| evaluation < 20),
             "seed {seed}: {verdict:?}"
         );
     }
