--- a/crates/policy/src/quarantine/mod.rs
+++ b/crates/policy/src/quarantine/mod.rs
@@ -123,7 +123,12 @@
 impl QuarantineTable {
     /// Merges a crash, or another daemon's record, into the record of `call`. An
     /// expired record is replaced.
-    pub fn merge(&mut self, call: CallIdentity, told: &CallRecord, now: Instant) -> MergeOutcome {
+    pub fn merge(
+        &mut self,
+        call: CallIdentity,
+        received: &CallRecord,
+        now: Instant,
+    ) -> MergeOutcome {
         if !self.records.contains_key(&call) {
             self.make_room(now);
         }
@@ -132,8 +137,8 @@
             *record = CallRecord::default();
         }
         let before = record.strikes();
-        let is_sender_behind = record.has_later_clearing(told);
-        let is_new = record.merge(told);
+        let is_sender_behind = record.has_later_clearing(received);
+        let is_new = record.merge(received);
         MergeOutcome {
             before,
             now: record.strikes(),
--- a/crates/policy/src/quarantine/record.rs
+++ b/crates/policy/src/quarantine/record.rs
@@ -117,18 +117,18 @@
         self.strikes() >= HELD_STRIKES
     }
 
-    /// Merges the record `told` into this one; returns whether that changed it.
-    pub(super) fn merge(&mut self, told: &CallRecord) -> bool {
+    /// Merges the record `received` into this one; returns whether that changed it.
+    pub(super) fn merge(&mut self, received: &CallRecord) -> bool {
         let mut is_new = false;
-        if is_later(told.cleared, self.cleared) {
-            self.cleared = told.cleared;
+        if is_later(received.cleared, self.cleared) {
+            self.cleared = received.cleared;
             is_new = true;
         }
-        if is_later(told.probe_started, self.probe_started) {
-            self.probe_started = told.probe_started;
+        if is_later(received.probe_started, self.probe_started) {
+            self.probe_started = received.probe_started;
             is_new = true;
         }
-        for crash in &told.crashes {
+        for crash in &received.crashes {
             is_new |= self.add(*crash);
         }
         is_new
@@ -156,10 +156,10 @@
         true
     }
 
-    /// Whether this record was cleared of crashes that `told` still counts, and
+    /// Whether this record was cleared of crashes that `received` still counts, and
     /// these make the call a suspect.
-    pub(super) fn has_later_clearing(&self, told: &CallRecord) -> bool {
-        is_later(self.cleared, told.cleared) && told.strikes() > 1
+    pub(super) fn has_later_clearing(&self, received: &CallRecord) -> bool {
+        is_later(self.cleared, received.cleared) && received.strikes() > 1
     }
 
     pub(super) fn clear(&mut self, now: Instant) {
--- a/crates/policy/tests/rollout_replay.rs
+++ b/crates/policy/tests/rollout_replay.rs
@@ -22,15 +22,15 @@
     /// Share of bad answers, 0 to 1.
     bad: f64,
     /// Kind of call that shows this share; all kinds if `None`.
-    only: Option<&'static str>,
+    only_kind: Option<&'static str>,
     /// Index of the evaluation from which on the share applies.
-    from: usize,
+    from_evaluation: usize,
 }
 
 const HEALTHY: TargetBehaviour = TargetBehaviour {
     bad: 0.01,
-    only: None,
-    from: 0,
+    only_kind: None,
+    from_evaluation: 0,
 };
 
 struct Fleet {
@@ -62,8 +62,8 @@
         for (counts, behaviour) in self.counts.iter_mut().zip(&self.behaviours) {
             for _ in 0..self.calls {
                 let kind = usize::from(rng.random::<f64>() > KINDS[0].1);
-                let is_faulty = evaluation >= behaviour.from
-                    && behaviour.only.is_none_or(|only| only == KINDS[kind].0);
+                let is_faulty = evaluation >= behaviour.from_evaluation
+                    && behaviour.only_kind.is_none_or(|only| only == KINDS[kind].0);
                 let share = if is_faulty {
                     behaviour.bad
                 } else {
@@ -127,13 +127,15 @@
 #[rstest]
 #[case::at_once(faulty(0.5), 3)]
 #[case::mildly(faulty(0.25), 8)]
-#[case::later(TargetBehaviour { bad: 0.5, only: None, from: 20 }, 24)]
-#[case::on_the_rare_route(TargetBehaviour { bad: 0.6, only: Some("rare"), from: 0 }, 40)]
+#[case::later(TargetBehaviour { bad: 0.5, only_kind: None, from_evaluation: 20 }, 24)]
+#[case::on_the_rare_route(TargetBehaviour { bad: 0.6, only_kind: Some("rare"), from_evaluation: 0 }, 40)]
 fn a_bad_version_is_condemned(#[case] behaviour: TargetBehaviour, #[case] within: usize) {
     for seed in 0..20 {
         let (found, verdict) = replay(&[HEALTHY; 12], &[behaviour; 4], 10, seed);
         assert!(
-            found.is_some_and(|evaluation| evaluation >= behaviour.from && evaluation <= within),
+            found.is_some_and(
+                |evaluation| evaluation >= behaviour.from_evaluation && evaluation <= within
+            ),
             "seed {seed}: {found:?}, {verdict:?}"
         );
     }
