--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -15,9 +15,9 @@
 use filbert_policy::organisations::quota::{PoolTopology, QuotaPolicy, TokenPool};
 use filbert_policy::organisations::token_cache::TokenCache;
 use filbert_policy::placement::{choose_target, CrossZoneCost, PlacementRequest, TargetView};
-use filbert_policy::quarantine::{CallRecord, CrashMark, QuarantineBook};
-use filbert_policy::rollout::judge::{CallCounts, TargetCounts, VersionJudge, VersionSide};
-use filbert_policy::rollout::note::{OrderId, RolloutNote, RolloutStage};
+use filbert_policy::quarantine::{CallRecord, QuarantineTable, TargetCrash};
+use filbert_policy::rollout::judge::{CallCounts, CanaryJudge, TargetCounts, VersionSide};
+use filbert_policy::rollout::record::{OrderId, RolloutRecord, RolloutStage};
 use filbert_policy::routing::{
     ClientLimits, ConfigVersion, RouteIndex, RouteKind, RoutePart, RouteRule,
 };
@@ -173,19 +173,19 @@
         });
     }
     let now = Instant::now();
-    let mut book = QuarantineBook::default();
+    let mut table = QuarantineTable::default();
     for number in 0..2_000 {
-        let mark = CrashMark {
+        let crash = TargetCrash {
             id: number,
             began: now,
             ended: now,
         };
         let call = identity(&format!("/p/{number}"), b"");
-        book.merge(call, &CallRecord::of_mark(mark), now);
+        table.merge(call, &CallRecord::from_crash(crash), now);
     }
     let other = identity("/p/other", b"");
     measure("standing of a call, 2,000 suspected", |_| {
-        black_box(book.standing(other, 0.5, now));
+        black_box(table.quarantine_state(other, 0.5, now));
     });
 }
 
@@ -196,7 +196,7 @@
     let kinds: Vec<String> = (0..8).map(|kind| format!("r-{kind}")).collect();
     let counts_at = |round: u32| -> Vec<TargetCounts<'_>> {
         let of_target = |target: usize| TargetCounts {
-            gate: names[target].as_str(),
+            target_id: names[target].as_str(),
             zone: ["a", "b", "c"][target % 3],
             side: if target >= 100 {
                 VersionSide::New
@@ -214,12 +214,12 @@
         (0..names.len()).map(of_target).collect()
     };
     let start = Instant::now();
-    let mut judge = VersionJudge::default();
+    let mut judge = CanaryJudge::default();
     let looks = 60;
     let began = Instant::now();
     for round in 0..looks {
         let now = start + Duration::from_millis(200) * round;
-        black_box(judge.look(&counts_at(round), now));
+        black_box(judge.evaluate(&counts_at(round), now));
     }
     println!(
         "{:<44} {:>8.0} ns",
@@ -227,12 +227,12 @@
         began.elapsed().as_secs_f64() * 1e9 / f64::from(looks)
     );
     let order = OrderId { era: 0, version: 5 };
-    let note = RolloutNote {
+    let record = RolloutRecord {
         stage: RolloutStage::Trial { per_mille: 60 },
-        ..RolloutNote::ordered("quotes", "v2", Duration::from_secs(15), order)
+        ..RolloutRecord::ordered("quotes", "v2", Duration::from_secs(15), order)
     };
     measure("lane of a call during a trial", |_| {
-        black_box(note.lane("9c41d07be2a35f68", true));
+        black_box(record.version_preference("9c41d07be2a35f68", true));
     });
 }
 
