--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -154,7 +154,7 @@
             core_share(idle.follower, busy.follower, WINDOW),
             per_second(idle_follower, WINDOW),
             changed(end.follower_bytes - busy.follower_bytes, idle_follower),
-            per_second(idle_platform.since(platform).all_reads(), WINDOW),
+            per_second(idle_platform.since(platform).total_reads(), WINDOW),
             per_second(idle_platform.since(platform).writes, WINDOW),
         );
     }
@@ -229,7 +229,7 @@
     let before = mesh.platform.store.stats();
     tokio::time::sleep(WINDOW).await;
     let idle = mesh.platform.store.stats();
-    let idle_reads = per_second(idle.since(before).all_reads(), WINDOW);
+    let idle_reads = per_second(idle.since(before).total_reads(), WINDOW);
     let idle_writes = per_second(idle.since(before).writes, WINDOW);
     let (relay, follower) = relay_and_follower(&mesh).await;
     let herd: Vec<usize> = (0..mesh.daemons.len()).collect();
@@ -256,7 +256,7 @@
         let beyond = |total: u64, idle: f64| (total as f64 - idle * window).max(0.0);
         println!(
             "{name:<17} {:>5.0}  {:>6.0}  {took:>17}",
-            beyond(after.since(before).all_reads(), idle_reads),
+            beyond(after.since(before).total_reads(), idle_reads),
             beyond(after.since(before).writes, idle_writes),
         );
     }
--- a/benches/convergence.rs
+++ b/benches/convergence.rs
@@ -98,7 +98,7 @@
         everywhere,
         version_bytes: version_bytes as f64 / per_change / daemons as f64,
         object_reads: platform.object_reads as f64 / per_change,
-        reads_per_second: platform.all_reads() as f64 / elapsed,
+        reads_per_second: platform.total_reads() as f64 / elapsed,
         writes_per_second: platform.writes as f64 / elapsed,
         bytes_per_second: (platform.bytes_out + links) as f64 / elapsed / daemons as f64,
     }
--- a/crates/ctl/src/cmd/publish.rs
+++ b/crates/ctl/src/cmd/publish.rs
@@ -4,7 +4,8 @@
 
 use error_stack::{Report, ResultExt};
 use filbert_store::{
-    CurrentPointer, DeltaPointer, PlatformClient, PlatformError, RowExpect, TableKey, WriteOutcome,
+    CurrentPointer, DeltaPointer, PlatformClient, PlatformError, StoreKey, WriteCondition,
+    WriteOutcome,
 };
 use filbert_tree::{SettingsTree, TreeDelta, VersionCodec, VersionRecord};
 
@@ -30,7 +31,7 @@
         .map_err(|problems| Report::new(CtlError::Refused).attach(problems.to_string()))?;
     let number = in_force.number() + 1;
     let nonce = nonce();
-    let object = TableKey::version_object(number, nonce);
+    let object = StoreKey::version_object(number, nonce);
     let record = VersionRecord {
         number,
         parent: in_force.number(),
@@ -49,9 +50,9 @@
     };
     let expect = in_force
         .row_version
-        .map_or(RowExpect::Absent, RowExpect::Version);
+        .map_or(WriteCondition::Absent, WriteCondition::Version);
     let value = serde_json::to_value(&pointer).change_context(CtlError::Platform)?;
-    match platform.put(TableKey::CURRENT, expect, value).await {
+    match platform.put(StoreKey::CURRENT, expect, value).await {
         Ok(WriteOutcome::Written(_)) => {}
         Ok(WriteOutcome::Refused(_)) => {
             return Err(Report::new(CtlError::Refused).attach(format!(
@@ -98,7 +99,7 @@
 ) -> Option<DeltaPointer> {
     let base = in_force.record.as_ref()?;
     let delta = TreeDelta::between(&base.tree, &record.tree);
-    let object = TableKey::delta_object(record.number, nonce);
+    let object = StoreKey::delta_object(record.number, nonce);
     let stored = platform.put_object(&object, VersionCodec::encode_delta(&delta));
     stored.await.ok()?;
     Some(DeltaPointer {
@@ -124,7 +125,9 @@
     if let Ok(value) = serde_json::to_value(DraftValue {
         tree: tree.to_toml(),
     }) {
-        let _ = platform.put(TableKey::DRAFT, RowExpect::Any, value).await;
+        let _ = platform
+            .put(StoreKey::DRAFT, WriteCondition::Any, value)
+            .await;
     }
 }
 
--- a/crates/ctl/src/cmd/show.rs
+++ b/crates/ctl/src/cmd/show.rs
@@ -41,7 +41,7 @@
     match output {
         ReadFormat::Text => {
             println!("{}[{path}]", heading(version));
-            for (key, value) in settings.pairs() {
+            for (key, value) in settings.key_values() {
                 println!("{key} = {value}");
             }
         }
--- a/crates/ctl/src/fleet.rs
+++ b/crates/ctl/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use error_stack::ResultExt;
-use filbert_store::{DaemonStatus, LeaseRecord, PlatformClient, TableKey, TableRow, ZoneDigest};
+use filbert_store::{DaemonStatus, LeaseRecord, PlatformClient, StoreKey, TableRow, ZoneDigest};
 
 use crate::error::CtlError;
 use crate::store::CtlResult;
@@ -27,9 +27,9 @@
 /// # Errors
 /// [`CtlError::Platform`] when the rows cannot be read.
 pub async fn read(platform: &PlatformClient) -> CtlResult<FleetStatus> {
-    let leases = scan::<LeaseRecord>(platform, TableKey::LEASES).await?;
-    let digests = scan::<ZoneDigest>(platform, TableKey::DIGESTS).await?;
-    let rows = scan::<DaemonStatus>(platform, TableKey::DAEMONS).await?;
+    let leases = scan::<LeaseRecord>(platform, StoreKey::LEASE_PREFIX).await?;
+    let digests = scan::<ZoneDigest>(platform, StoreKey::DIGEST_PREFIX).await?;
+    let rows = scan::<DaemonStatus>(platform, StoreKey::DAEMON_PREFIX).await?;
     let now_ms = now_ms();
     let mut newest: BTreeMap<(String, String), DaemonStatus> = BTreeMap::new();
     let from_digests = digests.into_iter().flat_map(|(zone, digest)| {
--- a/crates/ctl/src/store.rs
+++ b/crates/ctl/src/store.rs
@@ -2,7 +2,9 @@
 //! version in force, version objects, and the pending tree.
 
 use error_stack::{Report, ResultExt};
-use filbert_store::{CurrentPointer, PlatformClient, RowExpect, TableKey, TableRow, WriteOutcome};
+use filbert_store::{
+    CurrentPointer, PlatformClient, StoreKey, TableRow, WriteCondition, WriteOutcome,
+};
 use filbert_tree::{SettingsTree, VersionCodec, VersionRecord};
 use serde::{Deserialize, Serialize};
 
@@ -44,7 +46,7 @@
 /// [`CtlError::Platform`] when the platform fails or its data is unreadable.
 pub async fn in_force(platform: &PlatformClient) -> CtlResult<InForce> {
     let row = platform
-        .get(TableKey::CURRENT)
+        .get(StoreKey::CURRENT)
         .await
         .change_context(CtlError::Platform)?;
     let Some(row) = row else {
@@ -94,7 +96,7 @@
 /// [`CtlError::Platform`] on platform failure.
 pub async fn draft(platform: &PlatformClient) -> CtlResult<(SettingsTree, Option<u64>)> {
     let row: Option<TableRow> = platform
-        .get(TableKey::DRAFT)
+        .get(StoreKey::DRAFT)
         .await
         .change_context(CtlError::Platform)?;
     match row {
@@ -118,13 +120,13 @@
     tree: &SettingsTree,
     row_version: Option<u64>,
 ) -> CtlResult<()> {
-    let expect = row_version.map_or(RowExpect::Absent, RowExpect::Version);
+    let expect = row_version.map_or(WriteCondition::Absent, WriteCondition::Version);
     let value = serde_json::to_value(DraftValue {
         tree: tree.to_toml(),
     })
     .change_context(CtlError::Platform)?;
     match platform
-        .put(TableKey::DRAFT, expect, value)
+        .put(StoreKey::DRAFT, expect, value)
         .await
         .change_context(CtlError::Platform)?
     {
--- a/crates/daemon/src/control/lease.rs
+++ b/crates/daemon/src/control/lease.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use filbert_store::{LeaseRecord, RowExpect};
+use filbert_store::{LeaseRecord, WriteCondition};
 use rand::Rng;
 
 use super::pace::spread_window;
@@ -94,13 +94,13 @@
             renewed_at_ms: self.at.wall_ms(),
             ..held.record.clone()
         };
-        let expect = RowExpect::Version(held.row_version);
+        let expect = WriteCondition::Version(held.row_version);
         self.write_lease(expect, record, effects);
     }
 
     fn write_lease(
         &mut self,
-        expect: RowExpect,
+        expect: WriteCondition,
         record: LeaseRecord,
         effects: &mut Vec<ControlEffect>,
     ) {
@@ -120,7 +120,9 @@
             address: self.settings.address.clone(),
             renewed_at_ms: self.at.wall_ms(),
         };
-        let expect = row.map_or(RowExpect::Absent, |row| RowExpect::Version(row.version));
+        let expect = row.map_or(WriteCondition::Absent, |row| {
+            WriteCondition::Version(row.version)
+        });
         self.write_lease(expect, record, effects);
     }
 
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -21,7 +21,7 @@
 use std::time::{Duration, Instant};
 
 use filbert_store::{
-    DaemonStatus, DeltaPointer, LeaseRecord, RowExpect, TargetAnnouncement, TargetRecord,
+    DaemonStatus, DeltaPointer, LeaseRecord, TargetAnnouncement, TargetRecord, WriteCondition,
     ZoneDigest,
 };
 use filbert_tree::{RouteTable, TreeDelta, VersionRecord};
@@ -139,7 +139,7 @@
     ReadLease,
     /// Write the zone's lease row by compare-and-set.
     WriteLease {
-        expect: RowExpect,
+        expect: WriteCondition,
         record: LeaseRecord,
     },
     /// Open link `link` to the relay at `address`.
--- a/crates/daemon/src/control/zone.rs
+++ b/crates/daemon/src/control/zone.rs
@@ -12,7 +12,7 @@
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-use filbert_store::{LeaseRecord, RowExpect};
+use filbert_store::{LeaseRecord, WriteCondition};
 use rand::rngs::StdRng;
 use rand::Rng;
 
@@ -240,7 +240,7 @@
                 address: String::new(),
                 ..held.record
             };
-            let expect = RowExpect::Version(held.row_version);
+            let expect = WriteCondition::Version(held.row_version);
             effects.push(ControlEffect::WriteLease { expect, record });
         }
         if self.zone.role.relays() {
--- a/crates/daemon/src/platform_calls.rs
+++ b/crates/daemon/src/platform_calls.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use filbert_store::{
-    CurrentPointer, DaemonStatus, DeltaPointer, LeaseRecord, PlatformClient, RowExpect, TableKey,
-    TableRow, TargetRecord, WriteOutcome, ZoneDigest,
+    CurrentPointer, DaemonStatus, DeltaPointer, LeaseRecord, PlatformClient, StoreKey, TableRow,
+    TargetRecord, WriteCondition, WriteOutcome, ZoneDigest,
 };
 use filbert_tree::VersionCodec;
 use tokio::sync::mpsc;
@@ -47,7 +47,7 @@
             let failed = ControlEvent::PlatformFailed {
                 step: PlatformStep::ReadCurrent,
             };
-            Some(match platform.get(TableKey::CURRENT).await {
+            Some(match platform.get(StoreKey::CURRENT).await {
                 Ok(None) => ControlEvent::CurrentRead {
                     number: 0,
                     object: String::new(),
@@ -123,7 +123,7 @@
     pub fn read_targets(&self) {
         self.counters.platform_read();
         let platform = self.platform.clone();
-        let prefix = TableKey::zone_targets(&self.zone);
+        let prefix = StoreKey::zone_target_prefix(&self.zone);
         self.report(async move {
             Some(match platform.scan(&prefix).await {
                 Ok(rows) => ControlEvent::TargetsRead {
@@ -143,7 +143,7 @@
     pub fn read_lease(&self) {
         self.counters.platform_read();
         let platform = self.platform.clone();
-        let key = TableKey::lease(&self.zone);
+        let key = StoreKey::lease(&self.zone);
         self.report(async move {
             Some(match platform.get(&key).await {
                 Ok(row) => ControlEvent::LeaseRead {
@@ -157,10 +157,10 @@
     }
 
     /// Writes the zone's lease row if `expect` holds.
-    pub fn write_lease(&self, expect: RowExpect, record: &LeaseRecord) {
+    pub fn write_lease(&self, expect: WriteCondition, record: &LeaseRecord) {
         self.counters.platform_write();
         let platform = self.platform.clone();
-        let key = TableKey::lease(&self.zone);
+        let key = StoreKey::lease(&self.zone);
         let value = serde_json::to_value(record).unwrap_or_default();
         self.report(async move {
             let failed = ControlEvent::PlatformFailed {
@@ -183,7 +183,7 @@
         self.counters.platform_read();
         self.counters.platform_write();
         let platform = self.platform.clone();
-        let key = TableKey::digest(&self.zone);
+        let key = StoreKey::digest(&self.zone);
         self.report(async move {
             // Guards against a relay paused past its lease writing over its
             // successor's digest (seen as proxies that `filbertctl watch`
@@ -201,7 +201,9 @@
             if stored.is_some_and(|stored| stored.token > digest.token) {
                 return None;
             }
-            let expect = row.map_or(RowExpect::Absent, |row| RowExpect::Version(row.version));
+            let expect = row.map_or(WriteCondition::Absent, |row| {
+                WriteCondition::Version(row.version)
+            });
             let value = serde_json::to_value(digest).unwrap_or_default();
             match platform.put(&key, expect, value).await {
                 Ok(WriteOutcome::Written(_)) => None,
@@ -212,13 +214,13 @@
 
     /// Writes a target's row.
     pub fn write_target(&self, record: &TargetRecord) {
-        let key = TableKey::target(&record.zone, &record.service, &record.address);
+        let key = StoreKey::target(&record.zone, &record.service, &record.address);
         self.write_row(key, serde_json::to_value(record).unwrap_or_default());
     }
 
     /// Writes this daemon's status row.
     pub fn write_status(&self, status: &DaemonStatus) {
-        let key = TableKey::daemon(&status.zone, &status.id);
+        let key = StoreKey::daemon(&status.zone, &status.id);
         self.write_row(key, serde_json::to_value(status).unwrap_or_default());
     }
 
@@ -231,7 +233,7 @@
             let failed = ControlEvent::PlatformFailed {
                 step: PlatformStep::Write,
             };
-            let written = platform.put(&key, RowExpect::Any, value).await;
+            let written = platform.put(&key, WriteCondition::Any, value).await;
             written.is_err().then_some(failed)
         });
     }
--- a/crates/daemon/src/proxy/claim.rs
+++ b/crates/daemon/src/proxy/claim.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use filbert_store::{PlatformClient, RowExpect, TableKey, TableRow, WriteOutcome};
+use filbert_store::{PlatformClient, StoreKey, TableRow, WriteCondition, WriteOutcome};
 use serde::{Deserialize, Serialize};
 
 /// Answers larger than this are not kept for replay, in bytes.
@@ -96,7 +96,7 @@
 enum ClaimLook {
     Decided(ClaimOutcome),
     /// Nobody holds it; claim it under this condition.
-    Free(RowExpect),
+    Free(WriteCondition),
 }
 
 impl ClaimBook {
@@ -113,11 +113,11 @@
     /// daemon they go through and whenever those daemons die.
     pub async fn claim(&self, member: &str, key: &str, digest: u64) -> ClaimOutcome {
         let claim = HeldClaim {
-            key: TableKey::keyed_call(member, key),
+            key: StoreKey::call_claim(member, key),
             digest,
             nonce: rand::random(),
         };
-        let mut expect = RowExpect::Absent;
+        let mut expect = WriteCondition::Absent;
         for _ in 0..CLAIM_ROUNDS {
             let written = self.write(&claim, expect, ClaimState::Sent).await;
             let row = match written {
@@ -165,10 +165,10 @@
         let expect = match &row {
             // The claim's own write may still be on its way: with this row
             // in its place it will be refused.
-            None => RowExpect::Absent,
+            None => WriteCondition::Absent,
             Some(row) => match record_of(row) {
                 Some(record) if record.nonce == claim.nonce && record.state == ClaimState::Sent => {
-                    RowExpect::Version(row.version)
+                    WriteCondition::Version(row.version)
                 }
                 _ => return true,
             },
@@ -180,7 +180,7 @@
     async fn write(
         &self,
         claim: &HeldClaim,
-        expect: RowExpect,
+        expect: WriteCondition,
         state: ClaimState,
     ) -> Result<WriteOutcome, error_stack::Report<filbert_store::PlatformError>> {
         let record = ClaimRecord {
@@ -203,7 +203,7 @@
     ) -> Result<Option<ClaimState>, error_stack::Report<filbert_store::PlatformError>> {
         let row = self
             .platform
-            .get(&TableKey::keyed_call(member, key))
+            .get(&StoreKey::call_claim(member, key))
             .await?;
         Ok(row.as_ref().and_then(record_of).map(|record| record.state))
     }
@@ -215,7 +215,7 @@
 
 fn look(row: Option<&TableRow>, claim: &HeldClaim) -> ClaimLook {
     let Some(row) = row else {
-        return ClaimLook::Free(RowExpect::Absent);
+        return ClaimLook::Free(WriteCondition::Absent);
     };
     let Some(record) = record_of(row) else {
         return ClaimLook::Decided(ClaimOutcome::InDoubt);
@@ -225,7 +225,7 @@
         ClaimState::Sent if record.nonce == claim.nonce => ClaimOutcome::Held(claim.clone()),
         ClaimState::Sent => ClaimOutcome::InDoubt,
         ClaimState::Done(answer) => ClaimOutcome::Done(answer),
-        ClaimState::NotRun => return ClaimLook::Free(RowExpect::Version(row.version)),
+        ClaimState::NotRun => return ClaimLook::Free(WriteCondition::Version(row.version)),
     };
     ClaimLook::Decided(outcome)
 }
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -13,7 +13,7 @@
     StateChange, ZoneRole,
 };
 use filbert_daemon::messages::{PeerMessage, RelayMessage};
-use filbert_store::{LeaseRecord, RowExpect};
+use filbert_store::{LeaseRecord, WriteCondition};
 use filbert_tree::{BranchPath, SettingsTree, VersionRecord};
 
 const COOP: &str = include_str!("../../../../examples/coop.toml");
@@ -341,7 +341,7 @@
         self.daemons[index].inbox.push_back((due, event));
     }
 
-    fn write_lease(&mut self, index: usize, expect: RowExpect, record: LeaseRecord) {
+    fn write_lease(&mut self, index: usize, expect: WriteCondition, record: LeaseRecord) {
         let step = PlatformStep::Lease;
         if !self.reaches_platform(index) {
             self.platform(index, step, ControlEvent::Tick);
@@ -349,8 +349,8 @@
         }
         let version = self.lease.as_ref().map(|row| row.version);
         let holds = match (expect, version) {
-            (RowExpect::Any, _) | (RowExpect::Absent, None) => true,
-            (RowExpect::Version(expected), Some(version)) => expected == version,
+            (WriteCondition::Any, _) | (WriteCondition::Absent, None) => true,
+            (WriteCondition::Version(expected), Some(version)) => expected == version,
             _ => false,
         };
         if !holds {
--- a/crates/standin/src/mesh.rs
+++ b/crates/standin/src/mesh.rs
@@ -8,7 +8,7 @@
 
 use filbert_ctl::fleet;
 use filbert_store::{
-    CurrentPointer, DaemonStatus, DeltaPointer, PlatformClient, RowExpect, TableKey,
+    CurrentPointer, DaemonStatus, DeltaPointer, PlatformClient, StoreKey, WriteCondition,
 };
 use filbert_tree::{SettingsTree, TreeDelta, VersionCodec, VersionRecord};
 
@@ -128,11 +128,11 @@
             parent_object: None,
             tree: tree.clone(),
         };
-        let object = TableKey::version_object(number, 0);
+        let object = StoreKey::version_object(number, 0);
         store_object(&platform, &object, VersionCodec::encode(&record)).await;
         let mut delta = None;
         if let Some(base) = base {
-            let object = TableKey::delta_object(number, 0);
+            let object = StoreKey::delta_object(number, 0);
             let steps = VersionCodec::encode_delta(&TreeDelta::between(base, tree));
             store_object(&platform, &object, steps).await;
             delta = Some(DeltaPointer {
@@ -148,7 +148,7 @@
         let value = serde_json::to_value(pointer).expect("a pointer encodes");
         let accepted = SystemTime::now();
         for _ in 0..PUBLISH_ATTEMPTS {
-            let written = platform.put(TableKey::CURRENT, RowExpect::Any, value.clone());
+            let written = platform.put(StoreKey::CURRENT, WriteCondition::Any, value.clone());
             if written.await.is_ok() {
                 return accepted;
             }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use filbert_store::{
-    FaultSwitches, GetRequest, PlatformStats, PutRequest, RowExpect, ScanRequest, TableRow,
+    GetRequest, InjectedFaults, PlatformStats, PutRequest, ScanRequest, TableRow, WriteCondition,
 };
 use rocket::data::{Data, ToByteUnit};
 use rocket::http::{ContentType, Status};
@@ -28,7 +28,7 @@
 struct StoreInner {
     rows: BTreeMap<String, (u64, serde_json::Value)>,
     objects: BTreeMap<String, Vec<u8>>,
-    faults: FaultSwitches,
+    faults: InjectedFaults,
     stats: PlatformStats,
 }
 
@@ -45,7 +45,7 @@
     }
 
     /// Sets the fault switches.
-    pub fn set_faults(&self, switches: FaultSwitches) {
+    pub fn set_faults(&self, switches: InjectedFaults) {
         self.lock().faults = switches;
     }
 
@@ -123,9 +123,9 @@
         .get(&request.key)
         .map(|stored| row(&request.key, stored));
     let holds = match (request.expect, &current) {
-        (RowExpect::Any, _) | (RowExpect::Absent, None) => true,
-        (RowExpect::Version(expected), Some(found)) => found.version == expected,
-        (RowExpect::Absent, Some(_)) | (RowExpect::Version(_), None) => false,
+        (WriteCondition::Any, _) | (WriteCondition::Absent, None) => true,
+        (WriteCondition::Version(expected), Some(found)) => found.version == expected,
+        (WriteCondition::Absent, Some(_)) | (WriteCondition::Version(_), None) => false,
     };
     if !holds {
         return Ok(PlatformStore::reply(&mut inner, Status::Conflict, &current));
@@ -191,7 +191,7 @@
 }
 
 #[post("/_faults", data = "<switches>")]
-fn set_faults(store: &State<Arc<PlatformStore>>, switches: Json<FaultSwitches>) -> Status {
+fn set_faults(store: &State<Arc<PlatformStore>>, switches: Json<InjectedFaults>) -> Status {
     store.set_faults(switches.into_inner());
     Status::Ok
 }
--- a/crates/standin/tests/table_contract.rs
+++ b/crates/standin/tests/table_contract.rs
@@ -3,7 +3,7 @@
 //! a write, the switches in force, and what the client must see.
 
 use filbert_standin::platform::PlatformHandle;
-use filbert_store::{FaultSwitches, PlatformClient, PlatformError, RowExpect, WriteOutcome};
+use filbert_store::{InjectedFaults, PlatformClient, PlatformError, WriteCondition, WriteOutcome};
 use rstest::rstest;
 use serde_json::json;
 use std::time::Duration;
@@ -23,45 +23,45 @@
 /// the condition, the switches, what is seen.
 struct WriteCase {
     before: Option<u64>,
-    expect: RowExpect,
-    faults: FaultSwitches,
+    expect: WriteCondition,
+    faults: InjectedFaults,
     seen: Seen,
 }
 
-const CLEAR: FaultSwitches = FaultSwitches {
+const CLEAR: InjectedFaults = InjectedFaults {
     down: false,
     delay_ms: 0,
     lose_replies: 0,
 };
-const LOSE_ONE: FaultSwitches = FaultSwitches {
+const LOSE_ONE: InjectedFaults = InjectedFaults {
     down: false,
     delay_ms: 0,
     lose_replies: 1,
 };
-const DOWN: FaultSwitches = FaultSwitches {
+const DOWN: InjectedFaults = InjectedFaults {
     down: true,
     delay_ms: 0,
     lose_replies: 0,
 };
 
 #[rstest]
-#[case::insert_when_absent(WriteCase { before: None, expect: RowExpect::Absent, faults: CLEAR, seen: Seen::Written(1) })]
-#[case::insert_refused_when_present(WriteCase { before: Some(1), expect: RowExpect::Absent, faults: CLEAR, seen: Seen::Refused(1) })]
-#[case::cas_on_current_version(WriteCase { before: Some(2), expect: RowExpect::Version(2), faults: CLEAR, seen: Seen::Written(3) })]
-#[case::cas_on_stale_version(WriteCase { before: Some(2), expect: RowExpect::Version(1), faults: CLEAR, seen: Seen::Refused(2) })]
-#[case::cas_on_absent_row(WriteCase { before: None, expect: RowExpect::Version(1), faults: CLEAR, seen: Seen::Refused(0) })]
-#[case::blind_write(WriteCase { before: Some(4), expect: RowExpect::Any, faults: CLEAR, seen: Seen::Written(5) })]
-#[case::lost_reply_still_wrote(WriteCase { before: Some(1), expect: RowExpect::Version(1), faults: LOSE_ONE, seen: Seen::Failed(PlatformError::OutcomeUnknown, 2) })]
-#[case::lost_reply_on_insert(WriteCase { before: None, expect: RowExpect::Absent, faults: LOSE_ONE, seen: Seen::Failed(PlatformError::OutcomeUnknown, 1) })]
-#[case::refusal_is_not_lost(WriteCase { before: Some(3), expect: RowExpect::Version(1), faults: LOSE_ONE, seen: Seen::Refused(3) })]
-#[case::down_writes_nothing(WriteCase { before: Some(1), expect: RowExpect::Any, faults: DOWN, seen: Seen::Failed(PlatformError::Unavailable, 1) })]
+#[case::insert_when_absent(WriteCase { before: None, expect: WriteCondition::Absent, faults: CLEAR, seen: Seen::Written(1) })]
+#[case::insert_refused_when_present(WriteCase { before: Some(1), expect: WriteCondition::Absent, faults: CLEAR, seen: Seen::Refused(1) })]
+#[case::cas_on_current_version(WriteCase { before: Some(2), expect: WriteCondition::Version(2), faults: CLEAR, seen: Seen::Written(3) })]
+#[case::cas_on_stale_version(WriteCase { before: Some(2), expect: WriteCondition::Version(1), faults: CLEAR, seen: Seen::Refused(2) })]
+#[case::cas_on_absent_row(WriteCase { before: None, expect: WriteCondition::Version(1), faults: CLEAR, seen: Seen::Refused(0) })]
+#[case::blind_write(WriteCase { before: Some(4), expect: WriteCondition::Any, faults: CLEAR, seen: Seen::Written(5) })]
+#[case::lost_reply_still_wrote(WriteCase { before: Some(1), expect: WriteCondition::Version(1), faults: LOSE_ONE, seen: Seen::Failed(PlatformError::OutcomeUnknown, 2) })]
+#[case::lost_reply_on_insert(WriteCase { before: None, expect: WriteCondition::Absent, faults: LOSE_ONE, seen: Seen::Failed(PlatformError::OutcomeUnknown, 1) })]
+#[case::refusal_is_not_lost(WriteCase { before: Some(3), expect: WriteCondition::Version(1), faults: LOSE_ONE, seen: Seen::Refused(3) })]
+#[case::down_writes_nothing(WriteCase { before: Some(1), expect: WriteCondition::Any, faults: DOWN, seen: Seen::Failed(PlatformError::Unavailable, 1) })]
 #[tokio::test]
 async fn conditional_writes(#[case] case: WriteCase) {
     let platform = PlatformHandle::start().await;
     let client = PlatformClient::new(&platform.url, Duration::from_secs(2));
     for written in 0..case.before.unwrap_or(0) {
         client
-            .put("row", RowExpect::Any, json!(written))
+            .put("row", WriteCondition::Any, json!(written))
             .await
             .expect("setup write");
     }
@@ -100,7 +100,7 @@
         "daemons/a/0",
     ] {
         client
-            .put(key, RowExpect::Any, json!(key))
+            .put(key, WriteCondition::Any, json!(key))
             .await
             .expect("write");
     }
@@ -138,7 +138,7 @@
     // hang.
     let platform = PlatformHandle::start().await;
     let client = PlatformClient::new(&platform.url, Duration::from_millis(100));
-    platform.store.set_faults(FaultSwitches {
+    platform.store.set_faults(InjectedFaults {
         delay_ms: 500,
         ..CLEAR
     });
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -7,7 +7,7 @@
 use reqwest::StatusCode;
 
 use crate::wire::{
-    FaultSwitches, GetRequest, PlatformStats, PutRequest, RowExpect, ScanRequest, TableRow,
+    GetRequest, InjectedFaults, PlatformStats, PutRequest, ScanRequest, TableRow, WriteCondition,
 };
 
 /// Why a platform call failed. A failed read changed nothing; a failed write
@@ -109,7 +109,7 @@
     pub async fn put(
         &self,
         key: &str,
-        expect: RowExpect,
+        expect: WriteCondition,
         value: serde_json::Value,
     ) -> PlatformResult<WriteOutcome> {
         let body = PutRequest {
@@ -186,7 +186,7 @@
     ///
     /// # Errors
     /// [`PlatformError`] when the stand-in cannot be reached.
-    pub async fn set_faults(&self, switches: FaultSwitches) -> PlatformResult<()> {
+    pub async fn set_faults(&self, switches: InjectedFaults) -> PlatformResult<()> {
         let reply = self.post("/_faults", &switches).await?;
         if reply.status().is_success() {
             Ok(())
--- a/crates/store/src/keys.rs
+++ b/crates/store/src/keys.rs
@@ -1,9 +1,9 @@
 //! The table's key layout, in one place.
 
 /// Builds the keys this project keeps in the platform's table.
-pub struct TableKey;
+pub struct StoreKey;
 
-impl TableKey {
+impl StoreKey {
     /// The row holding the number of the version in force.
     pub const CURRENT: &'static str = "current";
     /// The row holding the operators' pending tree.
@@ -24,9 +24,9 @@
     }
 
     /// Prefix of every zone's lease row.
-    pub const LEASES: &'static str = "leases/";
+    pub const LEASE_PREFIX: &'static str = "leases/";
     /// Prefix of every zone's digest row.
-    pub const DIGESTS: &'static str = "digests/";
+    pub const DIGEST_PREFIX: &'static str = "digests/";
 
     /// A zone's lease row.
     #[must_use]
@@ -42,12 +42,12 @@
 
     /// The row that records a member's keyed call, so that it runs at most once.
     #[must_use]
-    pub fn keyed_call(member: &str, key: &str) -> String {
+    pub fn call_claim(member: &str, key: &str) -> String {
         format!("calls/{member}/{key}")
     }
 
     /// Prefix of every daemon status row.
-    pub const DAEMONS: &'static str = "daemons/";
+    pub const DAEMON_PREFIX: &'static str = "daemons/";
 
     /// A daemon's status row.
     #[must_use]
@@ -57,7 +57,7 @@
 
     /// Prefix of the target rows of one zone.
     #[must_use]
-    pub fn zone_targets(zone: &str) -> String {
+    pub fn zone_target_prefix(zone: &str) -> String {
         format!("targets/{zone}/")
     }
 
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -7,9 +7,9 @@
 mod wire;
 
 pub use client::{PlatformClient, PlatformError, WriteOutcome};
-pub use keys::TableKey;
+pub use keys::StoreKey;
 pub use wire::{
-    CurrentPointer, DaemonStatus, DeltaPointer, FaultSwitches, GetRequest, LeaseRecord,
-    PlatformStats, PutRequest, RowExpect, ScanRequest, TableRow, TargetAnnouncement, TargetRecord,
-    ZoneDigest,
+    CurrentPointer, DaemonStatus, DeltaPointer, GetRequest, InjectedFaults, LeaseRecord,
+    PlatformStats, PutRequest, ScanRequest, TableRow, TargetAnnouncement, TargetRecord,
+    WriteCondition, ZoneDigest,
 };
--- a/crates/store/src/wire.rs
+++ b/crates/store/src/wire.rs
@@ -16,7 +16,7 @@
 
 /// The condition a write must meet to take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum RowExpect {
+pub enum WriteCondition {
     /// Write whatever is there.
     Any,
     /// Write only if the key is absent (conditional insert).
@@ -38,7 +38,7 @@
     /// The key to write.
     pub key: String,
     /// The condition for the write.
-    pub expect: RowExpect,
+    pub expect: WriteCondition,
     /// The new value.
     pub value: serde_json::Value,
 }
@@ -52,7 +52,7 @@
 
 /// The stand-in's fault switches (`POST /_faults`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FaultSwitches {
+pub struct InjectedFaults {
     /// Every request fails with 503 while set.
     pub down: bool,
     /// Every request waits this long first, in milliseconds.
@@ -88,7 +88,7 @@
 
     /// Reads of the table and of objects together.
     #[must_use]
-    pub fn all_reads(self) -> u64 {
+    pub fn total_reads(self) -> u64 {
         self.reads + self.object_reads
     }
 }
--- a/crates/tree/src/diff.rs
+++ b/crates/tree/src/diff.rs
@@ -76,7 +76,7 @@
     keys.insert("site.name".to_owned(), tree.site.name.clone());
     for path in tree.branch_paths() {
         if let Some(settings) = tree.own_settings(&path) {
-            for (key, value) in settings.pairs() {
+            for (key, value) in settings.key_values() {
                 keys.insert(format!("{path}.{key}"), value);
             }
         }
--- a/crates/tree/src/settings.rs
+++ b/crates/tree/src/settings.rs
@@ -36,21 +36,21 @@
 
     /// The set fields as `(key, value)` text pairs, in key order.
     #[must_use]
-    pub fn pairs(&self) -> Vec<(&'static str, String)> {
-        let mut pairs = Vec::new();
+    pub fn key_values(&self) -> Vec<(&'static str, String)> {
+        let mut key_values = Vec::new();
         if let Some(timeout) = self.timeout_ms {
-            pairs.push(("timeout_ms", timeout.to_string()));
+            key_values.push(("timeout_ms", timeout.to_string()));
         }
         if let Some(retries) = self.retries {
-            pairs.push(("retries", retries.to_string()));
+            key_values.push(("retries", retries.to_string()));
         }
         if let Some(slots) = self.slots_per_target {
-            pairs.push(("slots_per_target", slots.to_string()));
+            key_values.push(("slots_per_target", slots.to_string()));
         }
         if let Some(once) = self.at_most_once {
-            pairs.push(("at_most_once", once.to_string()));
+            key_values.push(("at_most_once", once.to_string()));
         }
-        pairs
+        key_values
     }
 }
 
--- a/tests/convergence_faults.rs
+++ b/tests/convergence_faults.rs
@@ -8,7 +8,7 @@
 
 use filbert_standin::mesh::LocalMesh;
 use filbert_standin::pipe::PipeMode;
-use filbert_store::FaultSwitches;
+use filbert_store::InjectedFaults;
 use nix::sys::signal::Signal;
 use rstest::rstest;
 use support::{
@@ -80,23 +80,23 @@
         MeshFault::RelayFrozen => mesh.daemons[relay].signal(Signal::SIGSTOP),
         MeshFault::PlatformDown => switch(
             mesh,
-            FaultSwitches {
+            InjectedFaults {
                 down: true,
-                ..FaultSwitches::default()
+                ..InjectedFaults::default()
             },
         ),
         MeshFault::PlatformSlow => switch(
             mesh,
-            FaultSwitches {
+            InjectedFaults {
                 delay_ms: 400,
-                ..FaultSwitches::default()
+                ..InjectedFaults::default()
             },
         ),
         MeshFault::RepliesLost => switch(
             mesh,
-            FaultSwitches {
+            InjectedFaults {
                 lose_replies: 12,
-                ..FaultSwitches::default()
+                ..InjectedFaults::default()
             },
         ),
         MeshFault::ZoneCut => mesh.platform_pipes["zone-a"].set_mode(PipeMode::Cut),
@@ -129,7 +129,7 @@
         MeshFault::RelayKilled => mesh.daemons[relay].start(DAEMON_EXE.as_ref()),
         MeshFault::RelayFrozen => mesh.daemons[relay].signal(Signal::SIGCONT),
         MeshFault::PlatformDown | MeshFault::PlatformSlow | MeshFault::RepliesLost => {
-            mesh.platform.store.set_faults(FaultSwitches::default());
+            mesh.platform.store.set_faults(InjectedFaults::default());
         }
         MeshFault::ZoneCut => mesh.platform_pipes["zone-a"].set_mode(PipeMode::Pass),
         MeshFault::HerdKilled | MeshFault::PlatformSilent | MeshFault::LinksSilent => {}
@@ -219,7 +219,7 @@
         in_force_on(&mesh, &everywhere, 1).await,
         "not back in force"
     );
-    let reads = mesh.platform.store.stats().since(before).all_reads();
+    let reads = mesh.platform.store.stats().since(before).total_reads();
     // Each relay polls ten times a second; two daemons of a zone may poll
     // while it has no relay. Each daemon reads the lease a few times and
     // `current` once.
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -11,7 +11,7 @@
 use filbert_standin::mesh::LocalMesh;
 use filbert_standin::spec::MeshSpec;
 use filbert_standin::target::{TargetHandle, TargetSpec};
-use filbert_store::FaultSwitches;
+use filbert_store::InjectedFaults;
 use filbert_tree::BranchPath;
 use support::{coop, eventually, get, status, DAEMON_EXE};
 
@@ -42,9 +42,9 @@
     .await;
     assert!(reachable, "daemon 0 never learned of the artwork target");
 
-    mesh.platform.store.set_faults(FaultSwitches {
+    mesh.platform.store.set_faults(InjectedFaults {
         down: true,
-        ..FaultSwitches::default()
+        ..InjectedFaults::default()
     });
     // Past the mesh's 2 s target expiry.
     tokio::time::sleep(Duration::from_millis(2_600)).await;
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -10,7 +10,7 @@
 
 use filbert_standin::mesh::LocalMesh;
 use filbert_standin::target::{ExecutionRecord, TargetMode};
-use filbert_store::FaultSwitches;
+use filbert_store::InjectedFaults;
 use nix::sys::signal::Signal;
 use rstest::rstest;
 use support::{mesh_in_force, spec, DAEMON_EXE};
@@ -114,17 +114,17 @@
 async fn bring_about(mesh: &mut LocalMesh, fault: OrderFault) {
     match fault {
         OrderFault::Nothing => {}
-        OrderFault::RepliesLost => mesh.platform.store.set_faults(FaultSwitches {
+        OrderFault::RepliesLost => mesh.platform.store.set_faults(InjectedFaults {
             lose_replies: 20,
-            ..FaultSwitches::default()
+            ..InjectedFaults::default()
         }),
         OrderFault::PlatformDown => {
-            mesh.platform.store.set_faults(FaultSwitches {
+            mesh.platform.store.set_faults(InjectedFaults {
                 down: true,
-                ..FaultSwitches::default()
+                ..InjectedFaults::default()
             });
             tokio::time::sleep(Duration::from_millis(700)).await;
-            mesh.platform.store.set_faults(FaultSwitches::default());
+            mesh.platform.store.set_faults(InjectedFaults::default());
         }
         OrderFault::AnswersLost => mesh.targets[0].set_mode(TargetMode::Mute),
         OrderFault::TargetSheds => mesh.targets[0].set_mode(TargetMode::Shed),
