--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP client for the platform's table and object store.
+//! HTTP client for the platform's table service and object store.
 
 use std::fmt;
 use std::time::Duration;
@@ -10,17 +10,22 @@
     GetRequest, InjectedFaults, PlatformStats, PutRequest, ScanRequest, TableRow, WriteCondition,
 };
 
-/// Why a platform call failed. A failed read changed nothing; a failed write
-/// may or may not have taken effect unless the variant says otherwise.
+/// Why a request to the platform failed.
+///
+/// After a failed write, the write may have taken effect unless the variant
+/// rules it out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlatformError {
-    /// No answer: refused, reset or timed out. A write's outcome is unknown.
+    /// No complete response: the connection was refused or reset, or the
+    /// request timed out. A write may have taken effect.
     Unreachable,
-    /// The platform answered that it is unavailable; nothing was done.
+    /// The platform responded with status 503; the request had no effect.
     Unavailable,
-    /// The platform lost the reply to a write that may have taken effect.
+    /// The platform responded with status 504: its response to a write was lost,
+    /// and the write may have taken effect.
     OutcomeUnknown,
-    /// The reply did not have the expected shape.
+    /// The response has an unexpected status or body, or the request body
+    /// could not be encoded.
     Malformed,
 }
 
@@ -30,9 +35,9 @@
             PlatformError::Unreachable => "platform unreachable",
             PlatformError::Unavailable => "platform unavailable",
             PlatformError::OutcomeUnknown => {
-                "platform lost the reply; the write may have taken effect"
+                "platform response lost; the write may have taken effect"
             }
-            PlatformError::Malformed => "platform reply malformed",
+            PlatformError::Malformed => "platform response malformed",
         };
         formatter.write_str(text)
     }
@@ -40,33 +45,34 @@
 
 impl std::error::Error for PlatformError {}
 
-/// The outcome of a conditional write that got an answer.
+/// The result of a conditional write.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WriteOutcome {
-    /// The write took effect; the row as stored.
+    /// The condition held and the write took effect; holds the stored row.
     Written(TableRow),
-    /// The condition did not hold; the row as it is now (`None` if absent).
+    /// The condition did not hold and nothing was written; holds the current
+    /// row, or `None` if there is none.
     Refused(Option<TableRow>),
 }
 
-/// A client for one platform endpoint. Cheap to clone.
+/// A client for one platform endpoint. Clones share the connection pool.
 #[derive(Clone, Debug)]
 pub struct PlatformClient {
     http: reqwest::Client,
-    base: String,
+    base_url: String,
 }
 
 type PlatformResult<T> = Result<T, Report<PlatformError>>;
 
 impl PlatformClient {
-    /// A client for the platform at `base` (for example `http://127.0.0.1:7000`),
-    /// giving up on each call after `timeout`.
+    /// Creates a client for the platform at `base_url` (for example
+    /// `http://127.0.0.1:7000`) that fails each request after `timeout`.
     ///
     /// # Panics
-    /// When the TLS-less HTTP client cannot be built, which means the process
-    /// cannot open sockets at all.
+    /// If the HTTP client cannot be built. Without TLS this happens only when
+    /// the process cannot open sockets.
     #[must_use]
-    pub fn new(base: &str, timeout: Duration) -> PlatformClient {
+    pub fn new(base_url: &str, timeout: Duration) -> PlatformClient {
         let http = reqwest::Client::builder()
             .timeout(timeout)
             .connect_timeout(timeout)
@@ -75,37 +81,38 @@
             .expect("an HTTP client without TLS always builds");
         PlatformClient {
             http,
-            base: base.trim_end_matches('/').to_owned(),
+            base_url: base_url.trim_end_matches('/').to_owned(),
         }
     }
 
-    /// The platform's base address.
+    /// The URL of the platform, without a trailing slash.
     #[must_use]
-    pub fn base(&self) -> &str {
-        &self.base
+    pub fn base_url(&self) -> &str {
+        &self.base_url
     }
 
-    /// Reads one row; `None` when absent.
+    /// Reads the row at `key`, or returns `None` if there is none.
     ///
     /// # Errors
-    /// [`PlatformError`] when the platform cannot be reached or answers badly.
+    /// [`PlatformError`] when the platform is unreachable or unavailable, or its
+    /// response is malformed.
     pub async fn get(&self, key: &str) -> PlatformResult<Option<TableRow>> {
         let body = GetRequest {
             key: key.to_owned(),
         };
-        let reply = self.post("/table/get", &body).await?;
-        match reply.status() {
+        let response = self.send_post("/table/get", &body).await?;
+        match response.status() {
             StatusCode::NOT_FOUND => Ok(None),
-            status if status.is_success() => decode(reply).await.map(Some),
-            status => Err(status_error(status)),
+            status if status.is_success() => decode(response).await.map(Some),
+            status => Err(error_for_status(status)),
         }
     }
 
-    /// Writes a row if `expect` holds.
+    /// Writes `value` to the row at `key` if the condition `expect` holds.
     ///
     /// # Errors
-    /// [`PlatformError`]; after `Unreachable` or `OutcomeUnknown` the write may
-    /// have taken effect, so callers re-read before deciding.
+    /// [`PlatformError`]. After `Unreachable` or `OutcomeUnknown` the write may
+    /// have taken effect, so callers must read the row again before deciding.
     pub async fn put(
         &self,
         key: &str,
@@ -117,110 +124,117 @@
             expect,
             value,
         };
-        let reply = self.post("/table/put", &body).await?;
-        match reply.status() {
-            StatusCode::CONFLICT => decode::<Option<TableRow>>(reply)
+        let response = self.send_post("/table/put", &body).await?;
+        match response.status() {
+            StatusCode::CONFLICT => decode::<Option<TableRow>>(response)
                 .await
                 .map(WriteOutcome::Refused),
             StatusCode::GATEWAY_TIMEOUT => Err(Report::new(PlatformError::OutcomeUnknown)),
-            status if status.is_success() => decode(reply).await.map(WriteOutcome::Written),
-            status => Err(status_error(status)),
+            status if status.is_success() => decode(response).await.map(WriteOutcome::Written),
+            status => Err(error_for_status(status)),
         }
     }
 
     /// Reads every row whose key starts with `prefix`, in key order.
     ///
     /// # Errors
-    /// [`PlatformError`] when the platform cannot be reached or answers badly.
+    /// [`PlatformError`] when the platform is unreachable or unavailable, or its
+    /// response is malformed.
     pub async fn scan(&self, prefix: &str) -> PlatformResult<Vec<TableRow>> {
         let body = ScanRequest {
             prefix: prefix.to_owned(),
         };
-        let reply = self.post("/table/scan", &body).await?;
-        match reply.status() {
-            status if status.is_success() => decode(reply).await,
-            status => Err(status_error(status)),
+        let response = self.send_post("/table/scan", &body).await?;
+        match response.status() {
+            status if status.is_success() => decode(response).await,
+            status => Err(error_for_status(status)),
         }
     }
 
-    /// Stores an object under `key`, replacing any earlier one.
+    /// Stores an object under `key`, replacing any existing object.
     ///
     /// # Errors
-    /// [`PlatformError`]; after `Unreachable` the object may have been stored.
+    /// [`PlatformError`]. After `Unreachable` or `OutcomeUnknown` the object may
+    /// have been stored.
     pub async fn put_object(&self, key: &str, bytes: Vec<u8>) -> PlatformResult<()> {
-        let url = format!("{}/object/{key}", self.base);
-        let reply = self
+        let url = format!("{}/object/{key}", self.base_url);
+        let response = self
             .http
             .put(url)
             .body(bytes)
             .send()
             .await
             .change_context(PlatformError::Unreachable)?;
-        match reply.status() {
+        match response.status() {
             StatusCode::GATEWAY_TIMEOUT => Err(Report::new(PlatformError::OutcomeUnknown)),
             status if status.is_success() => Ok(()),
-            status => Err(status_error(status)),
+            status => Err(error_for_status(status)),
         }
     }
 
-    /// Fetches an object; `None` when absent.
+    /// Reads the object stored under `key`, or returns `None` if there is none.
     ///
     /// # Errors
-    /// [`PlatformError`] when the platform cannot be reached or answers badly.
+    /// [`PlatformError`] when the platform is unreachable or unavailable, or its
+    /// response is malformed.
     pub async fn get_object(&self, key: &str) -> PlatformResult<Option<Vec<u8>>> {
-        let reply = self.fetch(&format!("/object/{key}")).await?;
-        match reply.status() {
+        let response = self.send_get(&format!("/object/{key}")).await?;
+        match response.status() {
             StatusCode::NOT_FOUND => Ok(None),
             status if status.is_success() => {
-                let bytes = reply
+                let bytes = response
                     .bytes()
                     .await
                     .change_context(PlatformError::Unreachable)?;
                 Ok(Some(bytes.to_vec()))
             }
-            status => Err(status_error(status)),
+            status => Err(error_for_status(status)),
         }
     }
 
-    /// Sets the stand-in's fault switches. Only the stand-in answers this.
+    /// Sets the faults that the stand-in server injects. Only the stand-in
+    /// serves this request; the platform does not.
     ///
     /// # Errors
-    /// [`PlatformError`] when the stand-in cannot be reached.
-    pub async fn set_faults(&self, switches: InjectedFaults) -> PlatformResult<()> {
-        let reply = self.post("/_faults", &switches).await?;
-        if reply.status().is_success() {
+    /// [`PlatformError`] when the server is unreachable or does not respond with
+    /// a success status.
+    pub async fn set_faults(&self, faults: InjectedFaults) -> PlatformResult<()> {
+        let response = self.send_post("/_faults", &faults).await?;
+        if response.status().is_success() {
             Ok(())
         } else {
-            Err(status_error(reply.status()))
+            Err(error_for_status(response.status()))
         }
     }
 
-    /// Reads the stand-in's counts. Only the stand-in answers this.
+    /// Reads the request counters of the stand-in server. Only the stand-in
+    /// serves this request; the platform does not.
     ///
     /// # Errors
-    /// [`PlatformError`] when the stand-in cannot be reached.
+    /// [`PlatformError`] when the server is unreachable or its response is
+    /// malformed.
     pub async fn stats(&self) -> PlatformResult<PlatformStats> {
-        let reply = self.fetch("/_stats").await?;
-        decode(reply).await
+        let response = self.send_get("/_stats").await?;
+        decode(response).await
     }
 
-    async fn fetch(&self, path: &str) -> PlatformResult<reqwest::Response> {
+    async fn send_get(&self, path: &str) -> PlatformResult<reqwest::Response> {
         self.http
-            .get(format!("{}{path}", self.base))
+            .get(format!("{}{path}", self.base_url))
             .send()
             .await
             .change_context(PlatformError::Unreachable)
             .attach(format!("GET {path}"))
     }
 
-    async fn post<B: serde::Serialize>(
+    async fn send_post<B: serde::Serialize>(
         &self,
         path: &str,
         body: &B,
     ) -> PlatformResult<reqwest::Response> {
         let bytes = serde_json::to_vec(body).change_context(PlatformError::Malformed)?;
         self.http
-            .post(format!("{}{path}", self.base))
+            .post(format!("{}{path}", self.base_url))
             .header("content-type", "application/json")
             .body(bytes)
             .send()
@@ -230,15 +244,15 @@
     }
 }
 
-async fn decode<T: serde::de::DeserializeOwned>(reply: reqwest::Response) -> PlatformResult<T> {
-    let bytes = reply
+async fn decode<T: serde::de::DeserializeOwned>(response: reqwest::Response) -> PlatformResult<T> {
+    let bytes = response
         .bytes()
         .await
         .change_context(PlatformError::Unreachable)?;
     serde_json::from_slice(&bytes).change_context(PlatformError::Malformed)
 }
 
-fn status_error(status: StatusCode) -> Report<PlatformError> {
+fn error_for_status(status: StatusCode) -> Report<PlatformError> {
     let kind = if status == StatusCode::SERVICE_UNAVAILABLE {
         PlatformError::Unavailable
     } else {
