--- a/crates/store/src/keys.rs
+++ b/crates/store/src/keys.rs
@@ -1,67 +1,69 @@
-//! The table's key layout, in one place.
+//! Layout of the keys in the platform's table and object store.
 
-/// Builds the keys this project keeps in the platform's table.
+/// Builds the keys of table rows and stored objects.
 pub struct StoreKey;
 
 impl StoreKey {
-    /// The row holding the number of the version in force.
+    /// Key of the row that points to the version in force
+    /// ([`CurrentPointer`](crate::CurrentPointer)).
     pub const CURRENT: &'static str = "current";
-    /// The row holding the operators' pending tree.
+    /// Key of the row that holds the operators' pending tree.
     pub const DRAFT: &'static str = "draft";
 
-    /// Object store key of an accepted version; `nonce` makes it unique per
-    /// accept attempt.
+    /// Key of the object that holds an accepted version. `nonce` makes the key
+    /// unique to each attempt to accept a version.
     #[must_use]
     pub fn version_object(number: u64, nonce: u64) -> String {
         format!("versions/{number:012}-{nonce:016x}")
     }
 
-    /// Object store key of the steps to an accepted version from the one
-    /// before; `nonce` is the version object's.
+    /// Key of the object that holds the delta from the previous version to
+    /// version `number`. `nonce` is the same as in the key of the version object.
     #[must_use]
     pub fn delta_object(number: u64, nonce: u64) -> String {
         format!("deltas/{number:012}-{nonce:016x}")
     }
 
-    /// Prefix of every zone's lease row.
+    /// Key prefix of the lease rows of all zones.
     pub const LEASE_PREFIX: &'static str = "leases/";
-    /// Prefix of every zone's digest row.
+    /// Key prefix of the digest rows of all zones.
     pub const DIGEST_PREFIX: &'static str = "digests/";
 
-    /// A zone's lease row.
+    /// Key of the lease row of a zone ([`LeaseRecord`](crate::LeaseRecord)).
     #[must_use]
     pub fn lease(zone: &str) -> String {
         format!("leases/{zone}")
     }
 
-    /// A zone's digest row.
+    /// Key of the digest row of a zone ([`ZoneDigest`](crate::ZoneDigest)).
     #[must_use]
     pub fn digest(zone: &str) -> String {
         format!("digests/{zone}")
     }
 
-    /// The row that records a member's keyed call, so that it runs at most once.
+    /// Key of the claim row of a member's call with the idempotency key `key`.
+    /// The claim ensures that the call runs at most once.
     #[must_use]
     pub fn call_claim(member: &str, key: &str) -> String {
         format!("calls/{member}/{key}")
     }
 
-    /// Prefix of every daemon status row.
+    /// Key prefix of the status rows of all daemons.
     pub const DAEMON_PREFIX: &'static str = "daemons/";
 
-    /// A daemon's status row.
+    /// Key of the status row of a daemon ([`DaemonStatus`](crate::DaemonStatus)).
     #[must_use]
     pub fn daemon(zone: &str, id: &str) -> String {
         format!("daemons/{zone}/{id}")
     }
 
-    /// Prefix of the target rows of one zone.
+    /// Key prefix of the target rows of a zone.
     #[must_use]
     pub fn zone_target_prefix(zone: &str) -> String {
         format!("targets/{zone}/")
     }
 
-    /// A target's row.
+    /// Key of the row of a target ([`TargetRecord`](crate::TargetRecord)).
     #[must_use]
     pub fn target(zone: &str, service: &str, address: &str) -> String {
         format!("targets/{zone}/{service}/{address}")
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,6 +1,6 @@
-//! The platform's table service and object store as this project uses them:
-//! the wire types both sides share and an HTTP client. The stand-in server in
-//! `filbert-standin` speaks the same types.
+//! Client and wire types for the platform's table service and object store.
+//!
+//! The stand-in server in `filbert-standin` uses the same wire types.
 
 mod client;
 mod keys;
--- a/crates/store/src/wire.rs
+++ b/crates/store/src/wire.rs
@@ -1,27 +1,27 @@
-//! Request and reply bodies of the platform's HTTP protocol, and the rows
-//! this project keeps in the table.
+//! Request and response bodies of the platform's HTTP protocol, and the values
+//! of the rows in its table.
 
 use serde::{Deserialize, Serialize};
 
-/// One row of the table. `version` grows by one on every write of the key.
+/// One row of the table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TableRow {
     /// The row's key.
     pub key: String,
-    /// The row's version, from 1.
+    /// The version of the row: 1 at its first write, one more with each write.
     pub version: u64,
     /// The stored value.
     pub value: serde_json::Value,
 }
 
-/// The condition a write must meet to take effect.
+/// The condition under which a write takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum WriteCondition {
-    /// Write whatever is there.
+    /// Write unconditionally.
     Any,
-    /// Write only if the key is absent (conditional insert).
+    /// Write only if there is no row at the key (conditional insert).
     Absent,
-    /// Write only if the row is at this version (compare-and-set).
+    /// Write only if the row has this version (compare-and-set).
     Version(u64),
 }
 
@@ -46,36 +46,41 @@
 /// Body of `POST /table/scan`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ScanRequest {
-    /// Every key starting with this is returned, in key order.
+    /// The prefix of the keys whose rows are returned, in key order.
     pub prefix: String,
 }
 
-/// The stand-in's fault switches (`POST /_faults`).
+/// Faults that the stand-in server injects (body of `POST /_faults`).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InjectedFaults {
-    /// Every request fails with 503 while set.
+    /// Whether every request to the table or the object store fails with status 503.
     pub down: bool,
-    /// Every request waits this long first, in milliseconds.
+    /// Delay before each request to the table or the object store is served,
+    /// in milliseconds.
     pub delay_ms: u64,
-    /// The next this many writes take effect but their reply is lost.
+    /// Number of coming writes that take effect but get status 504 as their
+    /// response.
     pub lose_replies: u32,
 }
 
-/// Counts the stand-in keeps (`GET /_stats`), for benchmarks.
+/// Counters of the stand-in server (body of `GET /_stats`), for benchmarks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformStats {
-    /// Table reads and scans served.
+    /// Row reads and scans served, whether or not a row was found.
     pub reads: u64,
-    /// Table writes that took effect.
+    /// Row and object writes that took effect.
     pub writes: u64,
-    /// Objects served.
+    /// Object reads that found an object.
     pub object_reads: u64,
-    /// Bytes of reply bodies sent.
+    /// Bytes sent in response bodies of the table and the object store.
     pub bytes_out: u64,
 }
 
 impl PlatformStats {
-    /// What was counted since `earlier`.
+    /// The increase of each counter since the earlier reading `earlier`.
+    ///
+    /// `earlier` must come from the same run of the server, so that no counter
+    /// in it is higher.
     #[must_use]
     pub fn since(self, earlier: PlatformStats) -> PlatformStats {
         PlatformStats {
@@ -86,111 +91,124 @@
         }
     }
 
-    /// Reads of the table and of objects together.
+    /// The number of reads of rows and objects together.
     #[must_use]
     pub fn total_reads(self) -> u64 {
         self.reads + self.object_reads
     }
 }
 
-/// What a daemon reports about itself in its row `daemons/ZONE/ID`.
+/// The status that a daemon reports in its row `daemons/ZONE/ID`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DaemonStatus {
-    /// The daemon's id from its settings.
+    /// The id of the daemon, from its settings.
     pub id: String,
-    /// Its availability zone.
+    /// The availability zone of the daemon.
     pub zone: String,
-    /// The version in force on it (0 before the first).
+    /// The number of the version that the daemon has in force; 0 before the
+    /// first.
     pub applied: u64,
-    /// The newest version it refused as invalid, if any, with the reason.
+    /// The number of the newest version that the daemon rejected as invalid,
+    /// with the reason; `None` if it rejected none.
     pub rejected: Option<(u64, String)>,
-    /// Its clock at the report, in milliseconds since the Unix epoch.
+    /// The daemon's wall clock at the report, in milliseconds since the Unix
+    /// epoch.
     pub reported_at_ms: u64,
 }
 
-/// A target's announcement as kept in the row `targets/ZONE/SERVICE/ADDRESS`.
+/// A target as its daemon registers it in the row
+/// `targets/ZONE/SERVICE/ADDRESS`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetRecord {
     /// The service the target serves.
     pub service: String,
-    /// Where to reach it, as `host:port`.
+    /// The address of the target, as `host:port`.
     pub address: String,
-    /// Its availability zone.
+    /// The availability zone of the target.
     pub zone: String,
-    /// Id of the daemon on its host, which it announces itself to.
+    /// The id of the daemon on the target's host, which receives its
+    /// announcements.
     pub daemon: String,
-    /// Its last reported load: calls in flight.
+    /// Calls in flight on the target, as it last reported.
     pub load: u32,
-    /// Set once it announced that it is leaving: it must get no new work.
+    /// Whether the target announced that it is leaving; it must get no new
+    /// calls.
     pub leaving: bool,
-    /// When the announcing daemon last heard from it, in milliseconds since the Unix epoch.
+    /// The daemon's wall clock when the target last announced itself or the
+    /// daemon last refreshed the row, in milliseconds since the Unix epoch.
     pub heard_at_ms: u64,
 }
 
-/// A zone's lease, in the row `leases/ZONE`: who relays versions and targets
-/// to the zone's other daemons. Renewed by compare-and-set on the row.
+/// The lease of a zone, in the row `leases/ZONE`. Its holder relays versions
+/// and targets to the other daemons of the zone, and renews the lease by
+/// compare-and-set on the row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// The holder's daemon id.
+    /// The daemon id of the holder.
     pub holder: String,
-    /// The holder's start, unique per process, so that a restarted daemon
-    /// does not take its predecessor's lease for its own.
+    /// A number unique to each start of a daemon process. It keeps a restarted
+    /// daemon from taking the lease of its previous process for its own.
     pub incarnation: u64,
-    /// The fencing token: grows by one with every new holder.
+    /// The fencing token, which increases by one with each new holder.
     pub token: u64,
-    /// Where the holder's relay port is, `host:port`; empty once released.
+    /// The relay address of the holder, as `host:port`; empty once the lease is
+    /// released.
     pub address: String,
-    /// The holder's wall clock at the renewal, in milliseconds since the Unix
-    /// epoch; for operators only, never used to judge the lease.
+    /// The holder's wall clock at the last renewal, in milliseconds since the
+    /// Unix epoch. It is shown to operators only; expiry is never judged by it.
     pub renewed_at_ms: u64,
 }
 
-/// What a zone's relay reports of the daemons linked to it, in the row
-/// `digests/ZONE`; rewritten when it changes.
+/// The summary of the daemons linked to a zone's relay, which the relay
+/// writes to the row `digests/ZONE` when the summary has changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneDigest {
-    /// The fencing token of the lease it was written under.
+    /// The fencing token of the lease that the relay held at the write.
     pub token: u64,
-    /// Daemon ids by the version each has in force.
+    /// Ids of the linked daemons, by the number of the version in force on them.
     pub applied: std::collections::BTreeMap<u64, Vec<String>>,
-    /// Daemons that refused a version: id, number, reason.
+    /// Daemons that rejected a version: daemon id, version number and reason.
     pub rejected: Vec<(String, u64, String)>,
 }
 
-/// What a target sends its host's daemon (`POST /announce` on the daemon's
-/// admin port) to join, report load, and leave.
+/// The message by which a target joins, reports its load and leaves. It is the
+/// body of `POST /announce` to the admin port of the daemon on the target's
+/// host.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetAnnouncement {
     /// The service the target serves.
     pub service: String,
-    /// Where to reach it, as `host:port`.
+    /// The address of the target, as `host:port`.
     pub address: String,
-    /// Calls in flight on it now.
+    /// Calls in flight on the target.
     pub load: u32,
-    /// Set when it is leaving and must get no new work.
+    /// Whether the target is leaving and must get no new calls.
     pub leaving: bool,
 }
 
-/// The value of the `current` row: which version is in force and where its
-/// object is. The object key is unique per accept, so racing operators never
-/// overwrite each other's objects; only the winner of the compare-and-set on
-/// this row is named here.
+/// The value of the `current` row: the version in force and the key of its
+/// object.
+///
+/// Each attempt to accept a version stores its object under a unique key and
+/// then points this row to it by compare-and-set. Operators who accept at the
+/// same time therefore never overwrite each other's objects, and only one of
+/// them changes the version in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CurrentPointer {
-    /// The version number in force.
+    /// The number of the version in force.
     pub number: u64,
-    /// Object store key of its [`filbert_tree::VersionRecord`].
+    /// Key of the object that holds its [`filbert_tree::VersionRecord`].
     pub object: String,
-    /// Where the steps from the version before are, when they were stored.
+    /// The delta from the previous version; `None` if none was stored.
     #[serde(default)]
     pub delta: Option<DeltaPointer>,
 }
 
-/// Where the steps from one version to the next are.
+/// The location of the delta from one version to the next.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeltaPointer {
-    /// The version the steps start from.
+    /// The number of the version that the delta applies to.
     pub base: u64,
-    /// Object store key of the [`filbert_tree::TreeDelta`].
+    /// Key of the object that holds the [`filbert_tree::TreeDelta`].
     pub object: String,
 }
