--- a/crates/tree/src/edit.rs
+++ b/crates/tree/src/edit.rs
@@ -1,4 +1,4 @@
-//! Edits of single keys on a branch, as `filbertctl set` makes them.
+//! Edits of a tree by operators: setting a key of a branch and removing a branch.
 
 use std::fmt;
 use std::str::FromStr;
@@ -9,11 +9,11 @@
 /// Why an edit could not be made.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EditError {
-    /// The key is not a setting of that kind of branch.
+    /// The branch has no setting with this key.
     UnknownKey { key: String },
-    /// The value does not parse as the key's type.
+    /// The value cannot be parsed as the type of the setting.
     BadValue { key: String, value: String },
-    /// A route must be given its `path` before other keys.
+    /// The route does not exist; setting its `path` creates it.
     RouteWithoutPath { route: BranchPath },
     /// The branch to remove does not exist.
     NoSuchBranch { branch: BranchPath },
@@ -25,7 +25,7 @@
             EditError::UnknownKey { key } => {
                 write!(
                     formatter,
-                    "unknown key `{key}`; known: {}, and on routes path, service",
+                    "unknown key `{key}`; valid keys: {}; on routes also path, service",
                     SETTING_KEYS.join(", ")
                 )
             }
@@ -43,12 +43,13 @@
 impl std::error::Error for EditError {}
 
 impl SettingsTree {
-    /// Sets `key` to `value` on the branch at `path`, creating missing
-    /// members and services on the way.
+    /// Sets `key` to `value` on the branch at `path`. Creates the member and the
+    /// service in `path` if they do not exist, and the route if `key` is `path`.
     ///
     /// # Errors
-    /// [`EditError`] when the key is unknown, the value does not parse, or a
-    /// new route is given a key before its `path`.
+    /// [`EditError`] when the key is unknown, the value cannot be parsed, or the
+    /// route does not exist and `key` is not `path`. Members and services
+    /// that were created before the error remain in the tree.
     pub fn set(&mut self, path: &BranchPath, key: &str, value: &str) -> Result<(), EditError> {
         match path {
             BranchPath::Site if key == "name" => {
@@ -103,12 +104,13 @@
         }
     }
 
-    /// Removes the branch at `path` and everything below it.
+    /// Removes the branch at `path` and all its descendants.
     ///
     /// # Errors
-    /// [`EditError::NoSuchBranch`] when it does not exist; the site cannot be removed.
+    /// [`EditError::NoSuchBranch`] when the branch does not exist or is the site,
+    /// which cannot be removed.
     pub fn remove(&mut self, path: &BranchPath) -> Result<(), EditError> {
-        let missing = || EditError::NoSuchBranch {
+        let no_such_branch = || EditError::NoSuchBranch {
             branch: path.clone(),
         };
         let removed = match path {
@@ -133,17 +135,17 @@
         if removed {
             Ok(())
         } else {
-            Err(missing())
+            Err(no_such_branch())
         }
     }
 }
 
 fn set_setting(settings: &mut BranchSettings, key: &str, value: &str) -> Result<(), EditError> {
     match key {
-        "timeout_ms" => settings.timeout_ms = Some(parse(key, value)?),
-        "retries" => settings.retries = Some(parse(key, value)?),
-        "slots_per_target" => settings.slots_per_target = Some(parse(key, value)?),
-        "at_most_once" => settings.at_most_once = Some(parse(key, value)?),
+        "timeout_ms" => settings.timeout_ms = Some(parse_value(key, value)?),
+        "retries" => settings.retries = Some(parse_value(key, value)?),
+        "slots_per_target" => settings.slots_per_target = Some(parse_value(key, value)?),
+        "at_most_once" => settings.at_most_once = Some(parse_value(key, value)?),
         _ => {
             return Err(EditError::UnknownKey {
                 key: key.to_owned(),
@@ -153,7 +155,7 @@
     Ok(())
 }
 
-fn parse<T: FromStr>(key: &str, value: &str) -> Result<T, EditError> {
+fn parse_value<T: FromStr>(key: &str, value: &str) -> Result<T, EditError> {
     value.parse().map_err(|_| EditError::BadValue {
         key: key.to_owned(),
         value: value.to_owned(),
--- a/crates/tree/src/parse_error.rs
+++ b/crates/tree/src/parse_error.rs
@@ -1,22 +1,23 @@
-//! What is wrong in a settings file, for people.
+//! Errors in settings files, in a form for people to read.
 
 use std::fmt;
 
-/// A settings file that could not be read: where, which key, and why.
+/// An error in a settings file, with its position and the key where known.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParseError {
-    /// Line number, from 1, when known.
+    /// The line of the error, counted from 1, if known.
     pub line: Option<usize>,
-    /// The key at fault, when the parser named one.
+    /// The key to which the error applies: the first name that the parser's message
+    /// quotes, or else the key on the line of the error, if there is one.
     pub key: Option<String>,
-    /// The parser's message.
+    /// The message of the TOML parser.
     pub message: String,
-    /// The known key that is most like an unknown one, if any is.
-    pub nearest: Option<String>,
+    /// The valid key most similar to an unknown key, if one is similar enough.
+    pub suggestion: Option<String>,
 }
 
 impl ParseError {
-    /// Builds an error from a `toml` error and the text it came from.
+    /// Converts the error that the TOML parser returned for `text`.
     #[must_use]
     pub fn from_toml(text: &str, error: &toml::de::Error) -> ParseError {
         let line = error
@@ -27,43 +28,46 @@
             .split('`')
             .nth(1)
             .map(str::to_owned)
-            .or_else(|| key_at(text, error.span().map(|span| span.start)));
-        let nearest = nearest_key(&message);
+            .or_else(|| key_on_line_at(text, error.span().map(|span| span.start)));
+        let suggestion = suggest_key(&message);
         ParseError {
             line,
             key,
             message,
-            nearest,
+            suggestion,
         }
     }
 }
 
-/// Likeness (0 to 1) from which a known key is named: below it, the word was
-/// not meant.
-const LIKE_ENOUGH: f64 = 0.5;
+/// Minimum similarity to an unknown key (0 to 1, normalized Damerau-Levenshtein)
+/// at which a valid key is suggested. A less similar key is unlikely to be the
+/// intended one.
+const MIN_SUGGESTION_SIMILARITY: f64 = 0.5;
 
-/// The known key most like the unknown one that `message` tells of. The
-/// parser's message quotes the unknown key first, then the known ones.
-fn nearest_key(message: &str) -> Option<String> {
+/// Returns the valid key most similar to the unknown key that the parser's
+/// `message` reports. The message quotes the unknown key first and the valid
+/// keys after it.
+fn suggest_key(message: &str) -> Option<String> {
     if !message.starts_with("unknown field") {
         return None;
     }
     let mut quoted = message.split('`').skip(1).step_by(2);
-    let unknown = quoted.next()?;
+    let unknown_key = quoted.next()?;
     quoted
-        .map(|known| {
+        .map(|valid_key| {
             (
-                strsim::normalized_damerau_levenshtein(unknown, known),
-                known,
+                strsim::normalized_damerau_levenshtein(unknown_key, valid_key),
+                valid_key,
             )
         })
-        .filter(|(likeness, _)| *likeness >= LIKE_ENOUGH)
-        .max_by(|one, other| one.0.total_cmp(&other.0))
-        .map(|(_, known)| known.to_owned())
+        .filter(|(similarity, _)| *similarity >= MIN_SUGGESTION_SIMILARITY)
+        .max_by(|left, right| left.0.total_cmp(&right.0))
+        .map(|(_, valid_key)| valid_key.to_owned())
 }
 
-/// The key written at the start of the line holding `offset`, if any.
-fn key_at(text: &str, offset: Option<usize>) -> Option<String> {
+/// Returns the key that is assigned on the line at the byte offset `offset` of
+/// `text`, if there is one.
+fn key_on_line_at(text: &str, offset: Option<usize>) -> Option<String> {
     let offset = offset?.min(text.len());
     let line_start = text[..offset].rfind('\n').map_or(0, |index| index + 1);
     let line = text[line_start..].lines().next()?;
@@ -81,8 +85,8 @@
             (None, Some(key)) => write!(formatter, "key `{key}`: {}", self.message),
             (None, None) => write!(formatter, "{}", self.message),
         }?;
-        match &self.nearest {
-            Some(nearest) => write!(formatter, "; did you mean `{nearest}`?"),
+        match &self.suggestion {
+            Some(suggestion) => write!(formatter, "; did you mean `{suggestion}`?"),
             None => Ok(()),
         }
     }
--- a/crates/tree/src/validate.rs
+++ b/crates/tree/src/validate.rs
@@ -1,4 +1,4 @@
-//! Whole-tree validation: a tree with any problem is refused whole.
+//! Validation of trees. A tree with any problem is rejected as a whole.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,19 +6,19 @@
 use crate::branch::{BranchPath, SettingsTree};
 use crate::settings::BranchSettings;
 
-/// One reason a tree cannot be accepted or applied.
+/// A reason why a tree cannot be accepted or put in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TreeProblem {
-    /// A route names a service its member does not have.
+    /// A route refers to a service that its member does not have.
     UnknownService { route: BranchPath, service: String },
-    /// A route's path does not start with `/`.
+    /// The path of a route does not start with `/`.
     BadPath { route: BranchPath, path: String },
-    /// Two routes of one member claim the same path.
+    /// Two routes of one member have the same path.
     DuplicatePath {
         first: BranchPath,
         second: BranchPath,
     },
-    /// A setting is outside its allowed range.
+    /// The value of a setting is outside its valid range.
     OutOfRange {
         branch: BranchPath,
         key: &'static str,
@@ -57,7 +57,8 @@
     }
 }
 
-/// Every problem found in a tree, in branch order.
+/// All problems found in a tree: values out of range first, then problems of
+/// routes, each in branch order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TreeProblems(pub Vec<TreeProblem>);
 
@@ -70,8 +71,9 @@
 
 impl std::error::Error for TreeProblems {}
 
-/// Allowed ranges of numeric settings: key, lowest, highest.
-const RANGES: [(&str, u64, u64); 3] = [
+/// The key, lowest value and highest value of each numeric setting, in the order
+/// in which `check_ranges` lists the values.
+const SETTING_RANGES: [(&str, u64, u64); 3] = [
     ("timeout_ms", 1, 60_000),
     ("retries", 0, 5),
     ("slots_per_target", 1, 1_000),
@@ -81,7 +83,7 @@
     /// Checks the whole tree.
     ///
     /// # Errors
-    /// [`TreeProblems`] listing every problem when there is at least one.
+    /// [`TreeProblems`] with all problems, if there are any.
     pub fn validate(&self) -> Result<(), TreeProblems> {
         let mut problems = Vec::new();
         for path in self.branch_paths() {
@@ -90,31 +92,33 @@
             }
         }
         for (member, member_branch) in &self.site.members {
-            let mut paths: BTreeMap<&str, BranchPath> = BTreeMap::new();
+            let mut route_by_path: BTreeMap<&str, BranchPath> = BTreeMap::new();
             for (service, service_branch) in &member_branch.services {
                 for (route, route_branch) in &service_branch.routes {
-                    let here = BranchPath::Route {
+                    let branch_path = BranchPath::Route {
                         member: member.clone(),
                         service: service.clone(),
                         route: route.clone(),
                     };
-                    let target = route_branch.service.as_deref().unwrap_or(service);
-                    if !member_branch.services.contains_key(target) {
+                    let destination = route_branch.service.as_deref().unwrap_or(service);
+                    if !member_branch.services.contains_key(destination) {
                         problems.push(TreeProblem::UnknownService {
-                            route: here.clone(),
-                            service: target.to_owned(),
+                            route: branch_path.clone(),
+                            service: destination.to_owned(),
                         });
                     }
                     if !route_branch.path.starts_with('/') {
                         problems.push(TreeProblem::BadPath {
-                            route: here.clone(),
+                            route: branch_path.clone(),
                             path: route_branch.path.clone(),
                         });
                     }
-                    if let Some(first) = paths.insert(&route_branch.path, here.clone()) {
+                    if let Some(first) =
+                        route_by_path.insert(&route_branch.path, branch_path.clone())
+                    {
                         problems.push(TreeProblem::DuplicatePath {
                             first,
-                            second: here,
+                            second: branch_path,
                         });
                     }
                 }
@@ -134,7 +138,7 @@
         settings.retries.map(u64::from),
         settings.slots_per_target.map(u64::from),
     ];
-    for ((key, low, high), value) in RANGES.iter().zip(values) {
+    for ((key, low, high), value) in SETTING_RANGES.iter().zip(values) {
         if let Some(value) = value {
             if value < *low || value > *high {
                 problems.push(TreeProblem::OutOfRange {
