--- a/crates/tree/src/branch.rs
+++ b/crates/tree/src/branch.rs
@@ -1,4 +1,4 @@
-//! The tree's branches and the paths that name them.
+//! The branches of the settings tree and the paths that identify them.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,7 +8,7 @@
 use crate::parse_error::ParseError;
 use crate::settings::BranchSettings;
 
-/// A whole settings tree, rooted at its site.
+/// A settings tree. Its root is the site.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SettingsTree {
@@ -16,51 +16,53 @@
     pub site: SiteBranch,
 }
 
-/// The root branch: settings every member inherits.
+/// The root branch, whose settings all members inherit.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SiteBranch {
-    /// The site's name, for operators.
+    /// The name of the site, shown to operators.
     pub name: String,
-    /// Settings every branch below inherits.
+    /// Settings that all other branches inherit.
     #[serde(default)]
     pub settings: BranchSettings,
-    /// Members (customers) by name.
+    /// Members (customers), by name.
     #[serde(default)]
     pub members: BTreeMap<String, MemberBranch>,
 }
 
-/// A member (customer) of the site; its calls never reach another member's routes.
+/// A member (customer) of the site. Its calls are matched only against its own
+/// routes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MemberBranch {
     /// Overrides of the site's settings.
     #[serde(default)]
     pub settings: BranchSettings,
-    /// The member's view of services, by service name.
+    /// The services that the member uses, by name.
     #[serde(default)]
     pub services: BTreeMap<String, ServiceBranch>,
 }
 
-/// A service as one member uses it; its targets are those announcing this name.
+/// A service as one member uses it. Its targets are the ones that announce the
+/// name of the service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceBranch {
     /// Overrides of the member's settings.
     #[serde(default)]
     pub settings: BranchSettings,
-    /// Routes by name.
+    /// Routes of the service, by name.
     #[serde(default)]
     pub routes: BTreeMap<String, RouteBranch>,
 }
 
-/// A route: calls whose path starts with `path` go to a service's targets.
+/// A route, which sends calls with a matching path to the targets of a service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteBranch {
-    /// Path prefix that selects the route, starting with `/`.
+    /// The path prefix of the calls that the route matches. It starts with `/`.
     pub path: String,
-    /// Service the route sends to; the parent service when unset.
+    /// The service that receives the calls; `None` means the parent service.
     #[serde(default)]
     pub service: Option<String>,
     /// Overrides of the service's settings.
@@ -68,7 +70,7 @@
     pub settings: BranchSettings,
 }
 
-/// Names one branch: `site`, `site/MEMBER`, `site/MEMBER/SERVICE` or
+/// The path of a branch: `site`, `site/MEMBER`, `site/MEMBER/SERVICE` or
 /// `site/MEMBER/SERVICE/ROUTE`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum BranchPath {
@@ -87,19 +89,20 @@
 }
 
 impl BranchPath {
-    /// Parses `site[/member[/service[/route]]]`; `None` when malformed.
+    /// Parses a path of the form `site[/MEMBER[/SERVICE[/ROUTE]]]`. Returns `None`
+    /// if `text` has another form or an empty name.
     #[must_use]
     pub fn parse(text: &str) -> Option<BranchPath> {
         let mut parts = text.split('/');
         if parts.next() != Some("site") {
             return None;
         }
-        let rest: Vec<&str> = parts.collect();
-        if rest.iter().any(|part| part.is_empty()) {
+        let names: Vec<&str> = parts.collect();
+        if names.iter().any(|name| name.is_empty()) {
             return None;
         }
-        let owned = |index: usize| rest[index].to_owned();
-        match rest.len() {
+        let owned = |index: usize| names[index].to_owned();
+        match names.len() {
             0 => Some(BranchPath::Site),
             1 => Some(BranchPath::Member { member: owned(0) }),
             2 => Some(BranchPath::Service {
@@ -134,24 +137,26 @@
 }
 
 impl SettingsTree {
-    /// Parses a tree from TOML text; the error names the line and key.
+    /// Parses a tree from TOML text.
     ///
     /// # Errors
-    /// [`ParseError`] when the text is not TOML or does not fit the tree.
+    /// [`ParseError`], with line and key where they are known, when the text is
+    /// not TOML or does not describe a settings tree.
     pub fn from_toml(text: &str) -> Result<SettingsTree, ParseError> {
         toml::from_str(text).map_err(|error| ParseError::from_toml(text, &error))
     }
 
-    /// Renders the tree as TOML.
+    /// Serializes the tree to TOML.
     ///
     /// # Panics
-    /// Never for trees built by this crate: every field is TOML-representable.
+    /// Never: every field has a TOML representation.
     #[must_use]
     pub fn to_toml(&self) -> String {
-        toml::to_string(self).expect("settings trees are always representable in TOML")
+        toml::to_string(self).expect("a settings tree always serializes to TOML")
     }
 
-    /// The settings a branch sets itself, or `None` when it does not exist.
+    /// The settings that the branch at `path` sets itself, without inherited ones;
+    /// `None` if there is no such branch.
     #[must_use]
     pub fn own_settings(&self, path: &BranchPath) -> Option<&BranchSettings> {
         match path {
@@ -177,7 +182,8 @@
         }
     }
 
-    /// The settings in force at a branch after inheriting from every ancestor.
+    /// The settings in force at the branch at `path`, including those inherited
+    /// from its ancestors; `None` if there is no such branch.
     #[must_use]
     pub fn resolved_settings(&self, path: &BranchPath) -> Option<BranchSettings> {
         let own = self.own_settings(path)?.clone();
@@ -195,10 +201,10 @@
             },
         };
         let inherited = self.resolved_settings(&parent)?;
-        Some(own.inherit(&inherited))
+        Some(own.inherit_from(&inherited))
     }
 
-    /// Every branch path in the tree, parents before children.
+    /// The paths of all branches in the tree, each parent before its children.
     #[must_use]
     pub fn branch_paths(&self) -> Vec<BranchPath> {
         let mut paths = vec![BranchPath::Site];
--- a/crates/tree/src/delta.rs
+++ b/crates/tree/src/delta.rs
@@ -1,5 +1,5 @@
-//! Deltas between trees: what a relay sends to a peer that already holds an
-//! older version, in place of the whole tree.
+//! Deltas between trees. A relay sends a delta instead of the whole tree to a
+//! peer that already holds an older version.
 
 use std::fmt;
 use std::hash::Hasher;
@@ -10,19 +10,19 @@
 use crate::branch::{MemberBranch, RouteBranch, ServiceBranch, SettingsTree};
 use crate::settings::BranchSettings;
 
-/// One step that turns an older tree into a newer one.
+/// One edit of a settings tree, as part of a [`TreeDelta`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TreeEdit {
-    /// Sets the site's name.
+    /// Sets the name of the site.
     Name(String),
-    /// Sets the site's own settings.
+    /// Replaces the site's own settings.
     Site(BranchSettings),
-    /// Creates the member if missing and sets its own settings.
+    /// Creates the member if it does not exist and replaces its own settings.
     Member {
         member: String,
         settings: BranchSettings,
     },
-    /// Creates the service if missing and sets its own settings.
+    /// Creates the service if it does not exist and replaces its own settings.
     Service {
         member: String,
         service: String,
@@ -35,9 +35,9 @@
         route: String,
         branch: RouteBranch,
     },
-    /// Removes a member and all below it.
+    /// Removes a member and all its services and routes.
     DropMember { member: String },
-    /// Removes a service and all below it.
+    /// Removes a service and all its routes.
     DropService { member: String, service: String },
     /// Removes a route.
     DropRoute {
@@ -47,29 +47,31 @@
     },
 }
 
-/// The steps from one version's tree to another's, with a digest of the result.
+/// The edits that turn an older tree into a newer one, with the digest of the
+/// newer tree.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TreeDelta {
-    /// Steps, applied in order.
+    /// The edits, in the order in which they are applied.
     pub edits: Vec<TreeEdit>,
-    /// Digest of the tree the steps must produce.
+    /// [Digest](SettingsTree::digest) of the newer tree.
     pub digest: u64,
 }
 
-/// Why a delta could not be applied: the receiver must ask for the whole tree.
+/// Why a delta could not be applied. The receiver must then request the whole
+/// tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeltaError {
-    /// A step names a branch the receiver's tree lacks.
+    /// An edit refers to a branch that the receiver's tree does not have.
     MissingBranch,
-    /// The steps applied but produced another tree than the sender's.
+    /// All edits were applied, but the result differs from the sender's tree.
     DigestMismatch,
 }
 
 impl fmt::Display for DeltaError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = match self {
-            DeltaError::MissingBranch => "delta names a branch this tree lacks",
-            DeltaError::DigestMismatch => "delta produced another tree than the sender's",
+            DeltaError::MissingBranch => "delta refers to a branch that this tree does not have",
+            DeltaError::DigestMismatch => "delta produced a tree that differs from the sender's",
         };
         formatter.write_str(text)
     }
@@ -78,7 +80,7 @@
 impl std::error::Error for DeltaError {}
 
 impl TreeDelta {
-    /// The delta that turns `old` into `new`.
+    /// Computes the delta that turns `old` into `new`.
     #[must_use]
     pub fn between(old: &SettingsTree, new: &SettingsTree) -> TreeDelta {
         let mut edits = Vec::new();
@@ -96,7 +98,7 @@
             }
         }
         for (member, branch) in &new.site.members {
-            member_edits(member, old.site.members.get(member), branch, &mut edits);
+            push_member_edits(member, old.site.members.get(member), branch, &mut edits);
         }
         TreeDelta {
             edits,
@@ -104,18 +106,18 @@
         }
     }
 
-    /// Applies the delta to `base`, leaving `base` as it was.
+    /// Applies the delta to a copy of `base` and returns the result.
     ///
     /// # Errors
-    /// [`DeltaError`] when the result would not be the sender's tree.
+    /// [`DeltaError`] when the result would differ from the sender's tree.
     pub fn apply(&self, base: &SettingsTree) -> Result<SettingsTree, DeltaError> {
         let mut tree = base.clone();
         for edit in &self.edits {
             apply_edit(&mut tree, edit)?;
         }
-        // Guards against applying in part: a base that differs from what the
-        // sender assumed would yield a tree no operator accepted. The digest
-        // covers the whole result, so any difference is refused here.
+        // All edits may apply to a base other than the sender's and yield a tree
+        // that no operator accepted. The digest covers the whole result, so any
+        // difference is detected here.
         if tree.digest() == self.digest {
             Ok(tree)
         } else {
@@ -125,10 +127,10 @@
 }
 
 impl SettingsTree {
-    /// A digest of the whole tree (xxHash64 of its wire encoding).
+    /// Computes a digest of the whole tree: the xxHash64 of its bincode encoding.
     ///
     /// # Panics
-    /// Never: trees hold only plain data that bincode always encodes.
+    /// Never: trees hold only plain data, which bincode always encodes.
     #[must_use]
     pub fn digest(&self) -> u64 {
         let bytes = bincode::serde::encode_to_vec(self, bincode::config::standard())
@@ -139,7 +141,7 @@
     }
 }
 
-fn member_edits(
+fn push_member_edits(
     member: &str,
     old: Option<&MemberBranch>,
     new: &MemberBranch,
@@ -161,11 +163,11 @@
     }
     for (service, branch) in &new.services {
         let old_service = old.and_then(|branch| branch.services.get(service));
-        service_edits(member, service, old_service, branch, edits);
+        push_service_edits(member, service, old_service, branch, edits);
     }
 }
 
-fn service_edits(
+fn push_service_edits(
     member: &str,
     service: &str,
     old: Option<&ServiceBranch>,
--- a/crates/tree/src/diff.rs
+++ b/crates/tree/src/diff.rs
@@ -1,4 +1,5 @@
-//! Differences between two trees, as operators read them before accepting.
+//! Differences between two trees, for operators to review before they accept a
+//! version.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,11 +9,11 @@
 /// One difference between an older and a newer tree.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DiffLine {
-    /// A key set only in the newer tree.
+    /// A key that is set only in the newer tree.
     Added { key: String, value: String },
-    /// A key set only in the older tree.
+    /// A key that is set only in the older tree.
     Removed { key: String, value: String },
-    /// A key set in both, to different values.
+    /// A key that is set to different values in the two trees.
     Changed {
         key: String,
         old: String,
@@ -30,7 +31,7 @@
     }
 }
 
-/// Lists what changes from `old` to `new`, in key order.
+/// Lists the differences from `old` to `new`, in key order.
 #[must_use]
 pub fn diff_trees(old: &SettingsTree, new: &SettingsTree) -> Vec<DiffLine> {
     let old_keys = flatten(old);
@@ -70,7 +71,8 @@
     }
 }
 
-/// Every key the tree sets, as `branch.key` mapped to its value.
+/// Maps each key that the tree sets, written as `BRANCH.KEY`, to its value. Each
+/// branch itself has the entry `BRANCH`, with the value `{}`.
 fn flatten(tree: &SettingsTree) -> BTreeMap<String, String> {
     let mut keys = BTreeMap::new();
     keys.insert("site.name".to_owned(), tree.site.name.clone());
@@ -80,8 +82,8 @@
                 keys.insert(format!("{path}.{key}"), value);
             }
         }
-        // Branches with no settings of their own still show up, so that a new
-        // empty member or service is visible in the diff.
+        // Without an entry of the branch itself, a new member or service that has
+        // no settings would be missing from the diff.
         keys.entry(format!("{path}"))
             .or_insert_with(|| "{}".to_owned());
     }
@@ -90,8 +92,8 @@
             for (route, route_branch) in &service_branch.routes {
                 let prefix = format!("site/{member}/{service}/{route}");
                 keys.insert(format!("{prefix}.path"), route_branch.path.clone());
-                if let Some(target) = &route_branch.service {
-                    keys.insert(format!("{prefix}.service"), target.clone());
+                if let Some(destination) = &route_branch.service {
+                    keys.insert(format!("{prefix}.service"), destination.clone());
                 }
             }
         }
--- a/crates/tree/src/lib.rs
+++ b/crates/tree/src/lib.rs
@@ -1,7 +1,9 @@
-//! The settings tree operators edit: a site, its members, their services and
-//! the services' routes. Each branch inherits its parent's settings and
-//! overrides what differs. This crate holds the tree, its validation, the
-//! resolved (inherited) view, diffs between trees, and accepted versions.
+//! The settings tree that operators edit: a site, its members, their services
+//! and the routes of the services.
+//!
+//! Each branch inherits the settings of its parent and may override them. This
+//! crate holds the tree, its validation, the resolution of inherited settings,
+//! the route table, diffs and deltas between trees, and accepted versions.
 
 mod branch;
 mod delta;
--- a/crates/tree/src/route_table.rs
+++ b/crates/tree/src/route_table.rs
@@ -1,31 +1,34 @@
-//! The compiled form of a tree a proxy looks calls up in.
+//! The route table that a proxy compiles from a tree to look up the routes of
+//! calls.
 
 use std::collections::BTreeMap;
 
 use crate::branch::{BranchPath, SettingsTree};
 use crate::settings::RouteSettings;
 
-/// One route as a proxy uses it.
+/// A route with its settings resolved.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteEntry {
-    /// The route's branch.
+    /// The branch path of the route in the tree.
     pub route: BranchPath,
-    /// The path prefix that selects it.
+    /// The path prefix of the calls that the route matches.
     pub path: String,
-    /// The service whose targets take its calls.
+    /// The service whose targets receive the calls.
     pub service: String,
-    /// Settings after inheritance.
+    /// The resolved settings of the route.
     pub settings: RouteSettings,
 }
 
-/// Routes per member, longest path first, so the first match is the most specific.
+/// The routes of all members, for lookup by member and call path.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RouteTable {
+    /// Routes by member, longest path prefix first, so that the first match is
+    /// the most specific one.
     members: BTreeMap<String, Vec<RouteEntry>>,
 }
 
 impl RouteTable {
-    /// Compiles a tree that has passed [`SettingsTree::validate`].
+    /// Compiles `tree`, which must have passed [`SettingsTree::validate`].
     #[must_use]
     pub fn compile(tree: &SettingsTree) -> RouteTable {
         let mut members = BTreeMap::new();
@@ -33,20 +36,20 @@
             let mut entries = Vec::new();
             for (service, service_branch) in &member_branch.services {
                 for (route, route_branch) in &service_branch.routes {
-                    let path = BranchPath::Route {
+                    let branch_path = BranchPath::Route {
                         member: member.clone(),
                         service: service.clone(),
                         route: route.clone(),
                     };
-                    let inherited = tree.resolved_settings(&path).unwrap_or_default();
+                    let resolved = tree.resolved_settings(&branch_path).unwrap_or_default();
                     entries.push(RouteEntry {
-                        route: path,
+                        route: branch_path,
                         path: route_branch.path.clone(),
                         service: route_branch
                             .service
                             .clone()
                             .unwrap_or_else(|| service.clone()),
-                        settings: RouteSettings::from_branch(&inherited),
+                        settings: RouteSettings::from_branch(&resolved),
                     });
                 }
             }
@@ -56,8 +59,8 @@
         RouteTable { members }
     }
 
-    /// The most specific route of `member` whose prefix matches `path` at a
-    /// segment boundary.
+    /// Returns the most specific route of `member` whose path prefix matches
+    /// `path` at a segment boundary, or `None` if no route matches.
     #[must_use]
     pub fn lookup(&self, member: &str, path: &str) -> Option<&RouteEntry> {
         self.members
@@ -66,7 +69,8 @@
             .find(|entry| prefix_matches(&entry.path, path))
     }
 
-    /// Every service some route sends to.
+    /// The services that receive the calls of at least one route, sorted and
+    /// without duplicates.
     #[must_use]
     pub fn services(&self) -> Vec<&str> {
         let mut services: Vec<&str> = self
--- a/crates/tree/src/settings.rs
+++ b/crates/tree/src/settings.rs
@@ -1,31 +1,33 @@
-//! Per-branch settings: what a branch may override, and the resolved values a
-//! route runs with once every ancestor has been applied.
+//! The settings that a branch may override, and the resolved settings of a route.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Settings a branch may set; `None` inherits the parent's value.
+/// The settings of a branch. A field that is `None` inherits the parent's value.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BranchSettings {
-    /// Time a proxied call may take, in milliseconds (1..=60000).
+    /// Time limit of a proxied call, in milliseconds (1..=60000).
     pub timeout_ms: Option<u64>,
-    /// Extra attempts on another target when a call was certainly not run (0..=5).
+    /// Maximum number of attempts after the first (0..=5). A call that may have
+    /// run is attempted again only if running it twice is harmless.
     pub retries: Option<u32>,
-    /// Calls one target may hold at once (1..=1000); the brief's servers have 9.
+    /// Maximum number of concurrent calls to one target (1..=1000). A typical
+    /// target server handles 9.
     pub slots_per_target: Option<u32>,
-    /// Marks calls that must run at most once (order placement, berth confirmation).
+    /// Whether a call must run at most once, such as one that places an order or
+    /// confirms a berth.
     pub at_most_once: Option<bool>,
 }
 
-/// The names of the settings keys, as operators type them.
+/// The keys of the settings, as operators write them.
 pub const SETTING_KEYS: [&str; 4] = ["timeout_ms", "retries", "slots_per_target", "at_most_once"];
 
 impl BranchSettings {
-    /// Returns `self` with every unset field taken from `parent`.
+    /// Returns `self` with each unset field replaced by that of `parent`.
     #[must_use]
-    pub fn inherit(&self, parent: &BranchSettings) -> BranchSettings {
+    pub fn inherit_from(&self, parent: &BranchSettings) -> BranchSettings {
         BranchSettings {
             timeout_ms: self.timeout_ms.or(parent.timeout_ms),
             retries: self.retries.or(parent.retries),
@@ -34,7 +36,8 @@
         }
     }
 
-    /// The set fields as `(key, value)` text pairs, in key order.
+    /// The key and the value, as text, of each field that is set, in the order of
+    /// [`SETTING_KEYS`].
     #[must_use]
     pub fn key_values(&self) -> Vec<(&'static str, String)> {
         let mut key_values = Vec::new();
@@ -54,29 +57,30 @@
     }
 }
 
-/// The values a route runs with after inheritance, with defaults for what no
-/// branch set.
+/// The resolved settings of a route: inherited values, and defaults where no
+/// branch sets a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteSettings {
-    /// Time a proxied call may take.
+    /// Time limit of a proxied call.
     pub timeout: Duration,
-    /// Extra attempts on another target when a call was certainly not run.
+    /// Maximum number of attempts after the first.
     pub retries: u32,
-    /// Calls one target may hold at once.
+    /// Maximum number of concurrent calls to one target.
     pub slots_per_target: u32,
-    /// Whether calls on the route must run at most once.
+    /// Whether a call on the route must run at most once.
     pub at_most_once: bool,
 }
 
 impl RouteSettings {
-    /// Default call timeout when no branch sets one.
+    /// Time limit of a call if no branch sets one.
     pub const DEFAULT_TIMEOUT: Duration = Duration::from_secs(5);
-    /// Default retries when no branch sets them.
+    /// Maximum number of attempts after the first if no branch sets one.
     pub const DEFAULT_RETRIES: u32 = 1;
-    /// Default slots per target: the brief's servers have about 9.
-    pub const DEFAULT_SLOTS: u32 = 9;
+    /// Maximum number of concurrent calls to one target if no branch sets one. A
+    /// typical target server handles about 9.
+    pub const DEFAULT_SLOTS_PER_TARGET: u32 = 9;
 
-    /// Resolves fully inherited branch settings into the values in force.
+    /// Converts resolved branch settings, with defaults for unset fields.
     #[must_use]
     pub fn from_branch(settings: &BranchSettings) -> RouteSettings {
         RouteSettings {
@@ -84,7 +88,9 @@
                 .timeout_ms
                 .map_or(Self::DEFAULT_TIMEOUT, Duration::from_millis),
             retries: settings.retries.unwrap_or(Self::DEFAULT_RETRIES),
-            slots_per_target: settings.slots_per_target.unwrap_or(Self::DEFAULT_SLOTS),
+            slots_per_target: settings
+                .slots_per_target
+                .unwrap_or(Self::DEFAULT_SLOTS_PER_TARGET),
             at_most_once: settings.at_most_once.unwrap_or(false),
         }
     }
