--- a/crates/tree/tests/delta_history.rs
+++ b/crates/tree/tests/delta_history.rs
@@ -1,25 +1,30 @@
-//! Deltas between trees: for any two trees, the delta turns the one into the
-//! other, and applied to any other base it is refused rather than applied in
-//! part.
+//! Property tests of deltas between trees. The delta from one tree to another
+//! turns the first into the second. Applied to a different base, it fails or
+//! yields the same result, and never a mixture of the two trees.
 
 use filbert_tree::{BranchPath, DeltaError, SettingsTree, TreeDelta, VersionCodec};
 use proptest::prelude::*;
 
-/// One edit of a generated history.
+/// An edit in a generated history of edits.
 #[derive(Clone, Debug)]
-enum AnyEdit {
-    Set(BranchPath, u64),
-    Route(BranchPath, String),
+enum HistoryEdit {
+    SetTimeout(BranchPath, u64),
+    SetRoutePath(BranchPath, String),
     Remove(BranchPath),
 }
 
-fn name(prefix: &'static str) -> impl Strategy<Value = String> {
+fn numbered_name(prefix: &'static str) -> impl Strategy<Value = String> {
     (0..4_u8).prop_map(move |number| format!("{prefix}{number}"))
 }
 
-fn any_path() -> impl Strategy<Value = BranchPath> {
-    (name("m"), name("s"), name("r"), 0..4_u8).prop_map(|(member, service, route, depth)| {
-        match depth {
+fn branch_path() -> impl Strategy<Value = BranchPath> {
+    (
+        numbered_name("m"),
+        numbered_name("s"),
+        numbered_name("r"),
+        0..4_u8,
+    )
+        .prop_map(|(member, service, route, depth)| match depth {
             0 => BranchPath::Site,
             1 => BranchPath::Member { member },
             2 => BranchPath::Service { member, service },
@@ -28,30 +33,32 @@
                 service,
                 route,
             },
-        }
-    })
+        })
 }
 
-fn any_edit() -> impl Strategy<Value = AnyEdit> {
+fn history_edit() -> impl Strategy<Value = HistoryEdit> {
     prop_oneof![
-        3 => (any_path(), 1..9_000_u64).prop_map(|(path, value)| AnyEdit::Set(path, value)),
-        4 => (name("m"), name("s"), name("r"), name("/p")).prop_map(
+        3 => (branch_path(), 1..9_000_u64).prop_map(|(path, value)| HistoryEdit::SetTimeout(path, value)),
+        4 => (numbered_name("m"), numbered_name("s"), numbered_name("r"), numbered_name("/p")).prop_map(
             |(member, service, route, path)| {
-                AnyEdit::Route(BranchPath::Route { member, service, route }, path)
+                HistoryEdit::SetRoutePath(BranchPath::Route { member, service, route }, path)
             }
         ),
-        1 => any_path().prop_map(AnyEdit::Remove),
+        1 => branch_path().prop_map(HistoryEdit::Remove),
     ]
 }
 
-/// Applies edits, passing over those that do not fit the tree.
-fn edited(base: &SettingsTree, edits: &[AnyEdit]) -> SettingsTree {
+/// Applies `edits` to a copy of `base`, ignoring the errors of edits that do not
+/// fit the tree.
+fn apply_edits(base: &SettingsTree, edits: &[HistoryEdit]) -> SettingsTree {
     let mut tree = base.clone();
     for edit in edits {
         let _ = match edit {
-            AnyEdit::Set(path, value) => tree.set(path, "timeout_ms", &value.to_string()),
-            AnyEdit::Route(path, prefix) => tree.set(path, "path", prefix),
-            AnyEdit::Remove(path) => tree.remove(path),
+            HistoryEdit::SetTimeout(path, value) => {
+                tree.set(path, "timeout_ms", &value.to_string())
+            }
+            HistoryEdit::SetRoutePath(path, prefix) => tree.set(path, "path", prefix),
+            HistoryEdit::Remove(path) => tree.remove(path),
         };
     }
     tree
@@ -64,32 +71,33 @@
         ..ProptestConfig::default()
     })]
 
-    /// Any history of edits, cut in two: the delta over the second part, sent
-    /// through its encoding, rebuilds the newer tree from the older one.
+    /// `before` yields the older tree and `after` turns it into the newer one. The
+    /// delta between them, encoded and decoded again, must turn the older tree into
+    /// the newer one.
     #[test]
-    fn delta_rebuilds_the_newer_tree(
-        before in proptest::collection::vec(any_edit(), 0..30),
-        after in proptest::collection::vec(any_edit(), 0..30),
+    fn delta_turns_the_older_tree_into_the_newer(
+        before in proptest::collection::vec(history_edit(), 0..30),
+        after in proptest::collection::vec(history_edit(), 0..30),
     ) {
-        let old = edited(&SettingsTree::default(), &before);
-        let new = edited(&old, &after);
-        let sent = VersionCodec::encode_delta(&TreeDelta::between(&old, &new));
-        let delta = VersionCodec::decode_delta(&sent).expect("a delta decodes");
+        let old = apply_edits(&SettingsTree::default(), &before);
+        let new = apply_edits(&old, &after);
+        let encoded = VersionCodec::encode_delta(&TreeDelta::between(&old, &new));
+        let delta = VersionCodec::decode_delta(&encoded).expect("a delta decodes");
         prop_assert_eq!(delta.apply(&old), Ok(new));
     }
 
-    /// A delta that reaches a daemon with another base must not yield a tree
-    /// that no operator accepted: either it is refused, or the result is the
-    /// very tree that was accepted.
+    /// A delta may reach a daemon whose tree is not the sender's base. It must then
+    /// fail or yield the sender's new tree: any other result would be a tree that
+    /// no operator accepted.
     #[test]
-    fn delta_on_another_base_is_refused_or_right(
-        before in proptest::collection::vec(any_edit(), 0..20),
-        after in proptest::collection::vec(any_edit(), 1..20),
-        elsewhere in proptest::collection::vec(any_edit(), 1..20),
+    fn delta_on_another_base_fails_or_yields_the_newer_tree(
+        before in proptest::collection::vec(history_edit(), 0..20),
+        after in proptest::collection::vec(history_edit(), 1..20),
+        unrelated in proptest::collection::vec(history_edit(), 1..20),
     ) {
-        let old = edited(&SettingsTree::default(), &before);
-        let new = edited(&old, &after);
-        let other = edited(&SettingsTree::default(), &elsewhere);
+        let old = apply_edits(&SettingsTree::default(), &before);
+        let new = apply_edits(&old, &after);
+        let other = apply_edits(&SettingsTree::default(), &unrelated);
         match TreeDelta::between(&old, &new).apply(&other) {
             Ok(tree) => prop_assert_eq!(tree, new),
             Err(error) => prop_assert!(matches!(
--- a/crates/tree/tests/tree_cases.rs
+++ b/crates/tree/tests/tree_cases.rs
@@ -1,5 +1,5 @@
-//! The settings tree: parsing errors, validation, inheritance, diffs, and
-//! the version encoding, as tables of cases.
+//! Tests of the settings tree: parse errors, validation, inheritance, route
+//! lookup, diffs and the encoding of versions.
 
 use filbert_tree::{diff_trees, BranchPath, RouteTable, SettingsTree, VersionCodec, VersionRecord};
 use rstest::rstest;
@@ -11,7 +11,7 @@
     SettingsTree::from_toml(COOP).expect("the Co-op example parses")
 }
 
-/// A malformed file and where the error must point.
+/// An invalid settings file, and the line and key that its error must name.
 struct ParseCase {
     text: &'static str,
     line: usize,
@@ -22,13 +22,14 @@
 #[case::unknown_setting(ParseCase { text: "[site]\nname = \"x\"\nsettings = { timeout = 5 }\n", line: 3, key: "timeout" })]
 #[case::wrong_type(ParseCase { text: "[site]\nname = \"x\"\n\n[site.settings]\nretries = \"two\"\n", line: 5, key: "retries" })]
 #[case::unknown_branch_key(ParseCase { text: "[site]\nname = \"x\"\n[site.members.m]\nservise = {}\n", line: 4, key: "servise" })]
-fn malformed_files_name_line_and_key(#[case] case: ParseCase) {
+fn parse_error_names_line_and_key(#[case] case: ParseCase) {
     let error = SettingsTree::from_toml(case.text).expect_err("refused");
     assert_eq!(error.line, Some(case.line), "{error}");
     assert_eq!(error.key.as_deref(), Some(case.key), "{error}");
 }
 
-/// An edit and the problem validation must report, or none.
+/// An edit of the Co-op example, and a part of the problem text that validation
+/// must report; `None` if the tree must stay valid.
 struct ValidateCase {
     branch: &'static str,
     key: &'static str,
@@ -43,7 +44,7 @@
 #[case::duplicate_path(ValidateCase { branch: "site/north-signs/artwork/stock", key: "path", value: "/artwork", problem: Some("same path as") })]
 #[case::timeout_zero(ValidateCase { branch: "site/north-signs", key: "timeout_ms", value: "0", problem: Some("timeout_ms = 0 is outside 1..=60000") })]
 #[case::retries_high(ValidateCase { branch: "site", key: "retries", value: "9", problem: Some("retries = 9 is outside 0..=5") })]
-fn validation_refuses_the_whole_tree_with_the_reason(#[case] case: ValidateCase) {
+fn validation_reports_the_problem_caused_by_an_edit(#[case] case: ValidateCase) {
     let mut tree = coop();
     let path = BranchPath::parse(case.branch).expect("a branch");
     tree.set(&path, case.key, case.value)
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn both_examples_are_valid() {
+fn example_trees_are_valid() {
     coop().validate().expect("Co-op example is valid");
     SettingsTree::from_toml(AUTHORITY)
         .expect("Authority example parses")
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn versions_round_trip_and_truncated_bytes_are_refused() {
+fn version_round_trips_and_truncated_bytes_fail_to_decode() {
     let record = VersionRecord {
         number: 7,
         parent: 6,
