--- a/crates/daemon/tests/call_cases.rs
+++ b/crates/daemon/tests/call_cases.rs
@@ -54,7 +54,7 @@
     #[case] at_most_once: bool,
     #[case] repeatable: bool,
 ) {
-    let settings = RouteSettings::from_branch(&BranchSettings {
+    let settings = RouteSettings::from_resolved(&BranchSettings {
         at_most_once: Some(at_most_once),
         ..BranchSettings::default()
     });
--- a/crates/tree/src/route_table.rs
+++ b/crates/tree/src/route_table.rs
@@ -49,7 +49,7 @@
                             .service
                             .clone()
                             .unwrap_or_else(|| service.clone()),
-                        settings: RouteSettings::from_branch(&resolved),
+                        settings: RouteSettings::from_resolved(&resolved),
                     });
                 }
             }
--- a/crates/tree/src/settings.rs
+++ b/crates/tree/src/settings.rs
@@ -82,7 +82,7 @@
 
     /// Converts resolved branch settings, with defaults for unset fields.
     #[must_use]
-    pub fn from_branch(settings: &BranchSettings) -> RouteSettings {
+    pub fn from_resolved(settings: &BranchSettings) -> RouteSettings {
         RouteSettings {
             timeout: settings
                 .timeout_ms
