--- a/crates/mesh/src/body.rs
+++ b/crates/mesh/src/body.rs
@@ -12,7 +12,7 @@
 
 /// The sender of a body went away before it was whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BodyBroken;
+pub struct BodyTruncated;
 
 /// A call's body.
 #[derive(Debug)]
@@ -20,32 +20,32 @@
     /// All of it. Such a call can be sent again.
     Whole(Bytes),
     /// The start, and where the rest comes from. Its call is sent once.
-    Pieces(PieceSource),
+    Streamed(BodySource),
 }
 
 /// Where the pieces of a body come from.
 #[derive(Debug)]
-pub enum PieceSource {
+pub enum BodySource {
     /// A client on this host.
     Client(mpsc::Receiver<Bytes>),
     /// Another daemon.
     Link(LinkBody),
 }
 
-impl PieceSource {
+impl BodySource {
     /// The next piece; `None` at the end.
     ///
     /// # Errors
-    /// [`BodyBroken`] when the sender went away. (A client's pieces end with
+    /// [`BodyTruncated`] when the sender went away. (A client's pieces end with
     /// an empty one; a channel that closes without was broken off.)
-    pub async fn next(&mut self) -> Result<Option<Bytes>, BodyBroken> {
+    pub async fn next(&mut self) -> Result<Option<Bytes>, BodyTruncated> {
         match self {
-            PieceSource::Client(pieces) => match pieces.recv().await {
+            BodySource::Client(pieces) => match pieces.recv().await {
                 Some(piece) if piece.is_empty() => Ok(None),
                 Some(piece) => Ok(Some(piece)),
-                None => Err(BodyBroken),
+                None => Err(BodyTruncated),
             },
-            PieceSource::Link(body) => body.next().await,
+            BodySource::Link(body) => body.next().await,
         }
     }
 }
@@ -82,8 +82,8 @@
     /// The next piece; `None` at the end.
     ///
     /// # Errors
-    /// [`BodyBroken`] when the other daemon broke it off.
-    pub async fn next(&mut self) -> Result<Option<Bytes>, BodyBroken> {
+    /// [`BodyTruncated`] when the other daemon broke it off.
+    pub async fn next(&mut self) -> Result<Option<Bytes>, BodyTruncated> {
         if !self.ahead.is_empty() {
             return Ok(Some(std::mem::take(&mut self.ahead)));
         }
@@ -94,7 +94,7 @@
                 }
                 Ok(Some(piece))
             }
-            Some(Err(_)) => Err(BodyBroken),
+            Some(Err(_)) => Err(BodyTruncated),
             None => Ok(None),
         }
     }
@@ -129,7 +129,7 @@
     /// From the target beside this daemon.
     Run(Box<RunBody>),
     /// From the target beside this daemon, read ahead of its taker.
-    Ahead(AheadBody),
+    Buffered(BufferedBody),
     /// From another daemon.
     Link(LinkBody),
     /// Some of it, and where the rest comes from.
@@ -140,15 +140,15 @@
     /// The next piece; `None` at the end.
     ///
     /// # Errors
-    /// [`BodyBroken`] when the body was cut short.
-    pub async fn next(&mut self) -> Result<Option<Bytes>, BodyBroken> {
+    /// [`BodyTruncated`] when the body was cut short.
+    pub async fn next(&mut self) -> Result<Option<Bytes>, BodyTruncated> {
         match self {
             AnswerBody::Whole(body) => {
                 let piece = std::mem::take(body);
                 Ok((!piece.is_empty()).then_some(piece))
             }
             AnswerBody::Run(body) => body.next().await,
-            AnswerBody::Ahead(body) => body.next().await,
+            AnswerBody::Buffered(body) => body.next().await,
             AnswerBody::Link(body) => body.next().await,
             AnswerBody::Begun(pieces, rest) => {
                 if pieces.is_empty() {
@@ -164,8 +164,8 @@
     /// still be replaced by another attempt's if it breaks.
     ///
     /// # Errors
-    /// [`BodyBroken`] when the body was cut short.
-    pub async fn read_ahead(mut self, most: usize) -> Result<AnswerBody, BodyBroken> {
+    /// [`BodyTruncated`] when the body was cut short.
+    pub async fn read_ahead(mut self, most: usize) -> Result<AnswerBody, BodyTruncated> {
         let mut pieces = Vec::new();
         let mut held = 0;
         while held <= most {
@@ -184,7 +184,7 @@
 /// Bytes of answers that a daemon holds ahead of their takers at most, in KiB.
 /// A slow link of 7.5 Mbit/s works them off in some 17 s; the smallest hosts
 /// give their daemon 88 MB.
-pub const MOST_AHEAD_KIB: usize = 16 * 1024;
+pub const MAX_BUFFERED_ANSWER_KIB: usize = 16 * 1024;
 
 /// A piece read ahead, and its share of the room for such pieces.
 type HeldPiece = (Bytes, OwnedSemaphorePermit);
@@ -197,15 +197,15 @@
 /// to five seconds, and calls with short answers were turned away beside a
 /// target that had nothing to do.
 #[derive(Debug)]
-pub struct AheadBody {
-    pieces: mpsc::UnboundedReceiver<Result<HeldPiece, BodyBroken>>,
+pub struct BufferedBody {
+    pieces: mpsc::UnboundedReceiver<Result<HeldPiece, BodyTruncated>>,
     reader: JoinHandle<()>,
 }
 
-impl AheadBody {
+impl BufferedBody {
     /// Reads `body` ahead, as far as `room` (in KiB) has room.
     #[must_use]
-    pub fn start(mut body: Box<RunBody>, room: &Arc<Semaphore>) -> AheadBody {
+    pub fn start(mut body: Box<RunBody>, room: &Arc<Semaphore>) -> BufferedBody {
         const KIB: usize = 1024;
         let (sender, pieces) = mpsc::unbounded_channel();
         let room = Arc::clone(room);
@@ -229,10 +229,10 @@
                 }
             }
         });
-        AheadBody { pieces, reader }
+        BufferedBody { pieces, reader }
     }
 
-    async fn next(&mut self) -> Result<Option<Bytes>, BodyBroken> {
+    async fn next(&mut self) -> Result<Option<Bytes>, BodyTruncated> {
         match self.pieces.recv().await {
             Some(Ok((piece, _share))) => Ok(Some(piece)),
             Some(Err(broken)) => Err(broken),
@@ -241,7 +241,7 @@
     }
 }
 
-impl Drop for AheadBody {
+impl Drop for BufferedBody {
     /// Guards against work for a caller that has left: the target's connection
     /// closes, and the target drops the run.
     fn drop(&mut self) {
--- a/crates/mesh/src/calls/attempt.rs
+++ b/crates/mesh/src/calls/attempt.rs
@@ -208,7 +208,7 @@
                 shared.count_crossing(peer, CrossingCause::Call, start.len());
                 outgoing.send_data(start.freeze(), true).map_err(|_| ())?;
             }
-            CallBody::Pieces(mut pieces) => {
+            CallBody::Streamed(mut pieces) => {
                 outgoing.send_data(encode(head), false).map_err(|_| ())?;
                 while let Some(piece) = pieces.next().await.map_err(|_| ())? {
                     shared.count_crossing(peer, CrossingCause::Call, piece.len());
--- a/crates/mesh/src/calls/message.rs
+++ b/crates/mesh/src/calls/message.rs
@@ -32,7 +32,7 @@
     let settings = Rc::clone(&shared.settings.borrow());
     let body_length = match &call.body {
         CallBody::Whole(body) => Some(body.len() as u64),
-        CallBody::Pieces(_) => call.head.framing.length(),
+        CallBody::Streamed(_) => call.head.framing.length(),
     };
     let own_priority = call.holder.as_ref().and_then(|holder| holder.priority);
     let call_priority = own_priority.unwrap_or(route.priority);
@@ -69,7 +69,7 @@
                 whole: Some(whole),
                 pieces: None,
             },
-            pieces @ CallBody::Pieces(_) => BodyCopies {
+            pieces @ CallBody::Streamed(_) => BodyCopies {
                 whole: None,
                 pieces: Some(pieces),
             },
--- a/crates/mesh/src/deflate.rs
+++ b/crates/mesh/src/deflate.rs
@@ -17,7 +17,7 @@
 /// # Panics
 /// Never: writing to memory does not fail.
 #[must_use]
-pub fn pack(plain: &[u8]) -> Vec<u8> {
+pub fn compress(plain: &[u8]) -> Vec<u8> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     encoder
         .write_all(plain)
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 /// When the bytes were not deflated, or are too many.
-pub fn unpack(deflated: &[u8]) -> io::Result<Vec<u8>> {
+pub fn decompress(deflated: &[u8]) -> io::Result<Vec<u8>> {
     let mut plain = Vec::new();
     let mut decoder = DeflateDecoder::new(deflated).take(MOST_PLAIN);
     decoder.read_to_end(&mut plain)?;
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -21,7 +21,7 @@
 use filbert_policy::run_times::{RunTime, RunTimeEstimator};
 use tokio::sync::{oneshot, Notify, Semaphore};
 
-use crate::body::MOST_AHEAD_KIB;
+use crate::body::MAX_BUFFERED_ANSWER_KIB;
 use crate::egress::EgressPacer;
 use crate::logging::LineBudget;
 use crate::messages::{CallHead, TargetLoad, TargetState, TargetStatus};
@@ -109,7 +109,7 @@
             host: settings.id.clone(),
             metrics,
             egress,
-            ahead: Arc::new(Semaphore::new(MOST_AHEAD_KIB)),
+            ahead: Arc::new(Semaphore::new(MAX_BUFFERED_ANSWER_KIB)),
             lines: LineBudget::new(clock.now()),
             clock,
             address: Cell::new(settings.target),
--- a/crates/mesh/src/gate/run.rs
+++ b/crates/mesh/src/gate/run.rs
@@ -11,7 +11,7 @@
 
 use super::wait::Declined;
 use super::{turn_time, Gate, StartedRun};
-use crate::body::{AheadBody, AnswerBody, CallBody};
+use crate::body::{AnswerBody, BufferedBody, CallBody};
 use crate::logging::LineWeight;
 use crate::messages::{micros, AnswerHead, CallHead, ReplyHead};
 use crate::quarantine::AgedCrash;
@@ -114,7 +114,7 @@
                 let body = if is_short {
                     AnswerBody::Run(body)
                 } else {
-                    AnswerBody::Ahead(AheadBody::start(body, &self.ahead))
+                    AnswerBody::Buffered(BufferedBody::start(body, &self.ahead))
                 };
                 (reply, body, told)
             }
--- a/crates/mesh/src/ingress/bodies.rs
+++ b/crates/mesh/src/ingress/bodies.rs
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc;
 
 use super::{ReadEnd, BAD_REQUEST};
-use crate::body::{CallBody, PieceSource};
+use crate::body::{BodySource, CallBody};
 
 /// Longest body that is read whole before its call is placed, in bytes. Such
 /// a call can be sent again.
@@ -62,8 +62,8 @@
 ) -> CallIdentity {
     let (body_prefix, body_length) = match (body, rest) {
         (CallBody::Whole(whole), _) => (&whole[..], Some(whole.len() as u64)),
-        (CallBody::Pieces(_), Some((start, _))) => (&start[..], head.framing.length()),
-        (CallBody::Pieces(_), None) => (&[][..], head.framing.length()),
+        (CallBody::Streamed(_), Some((start, _))) => (&start[..], head.framing.length()),
+        (CallBody::Streamed(_), None) => (&[][..], head.framing.length()),
     };
     CallIdentity::of(&IdentityParts {
         method: &head.method,
@@ -93,7 +93,7 @@
         }
     }
     let (sender, receiver) = mpsc::channel(PIECES_AHEAD);
-    let pieces = CallBody::Pieces(PieceSource::Client(receiver));
+    let pieces = CallBody::Streamed(BodySource::Client(receiver));
     Ok((pieces, Some((Bytes::from(start), sender))))
 }
 
--- a/crates/mesh/src/members/tell.rs
+++ b/crates/mesh/src/members/tell.rs
@@ -12,7 +12,7 @@
     pub fn member_list(&self) -> LinkMessage {
         let mut hosts = self.members.hosts();
         hosts.push(self.own_address());
-        LinkMessage::Members(HostList::pack(&hosts))
+        LinkMessage::Members(HostList::compress(&hosts))
     }
 
     /// A checksum of that list.
--- a/crates/mesh/src/messages/hosts.rs
+++ b/crates/mesh/src/messages/hosts.rs
@@ -18,11 +18,11 @@
     /// # Panics
     /// Never: addresses hold only plain data that bincode always encodes.
     #[must_use]
-    pub fn pack(hosts: &[PeerAddress]) -> HostList {
+    pub fn compress(hosts: &[PeerAddress]) -> HostList {
         let plain = bincode::serde::encode_to_vec(hosts, bincode::config::standard())
             .expect("addresses always encode");
         HostList {
-            deflated: deflate::pack(&plain),
+            deflated: deflate::compress(&plain),
         }
     }
 
@@ -30,8 +30,8 @@
     ///
     /// # Errors
     /// [`BadMessage`] when the bytes are not such a list.
-    pub fn unpack(&self) -> Result<Vec<PeerAddress>, BadMessage> {
-        let plain = deflate::unpack(&self.deflated).map_err(|_| BadMessage)?;
+    pub fn decompress(&self) -> Result<Vec<PeerAddress>, BadMessage> {
+        let plain = deflate::decompress(&self.deflated).map_err(|_| BadMessage)?;
         bincode::serde::decode_from_slice(&plain, bincode::config::standard())
             .map(|(hosts, _)| hosts)
             .map_err(|_| BadMessage)
--- a/crates/mesh/src/news.rs
+++ b/crates/mesh/src/news.rs
@@ -256,7 +256,7 @@
             }
         }
         LinkMessage::Members(list) => {
-            let Ok(hosts) = list.unpack() else {
+            let Ok(hosts) = list.decompress() else {
                 log::error!("event=members_unreadable from={from}");
                 return;
             };
--- a/crates/mesh/src/serve_peers.rs
+++ b/crates/mesh/src/serve_peers.rs
@@ -13,7 +13,7 @@
 use http::{Request, Response};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::body::{next_data, AnswerBody, CallBody, LinkBody, PieceSource};
+use crate::body::{next_data, AnswerBody, BodySource, CallBody, LinkBody};
 use crate::links::{LinkError, CONNECTION_WINDOW, STREAM_WINDOW};
 use crate::messages::{encode, take, CallHead, ReplyHead};
 use crate::sockets;
@@ -142,7 +142,7 @@
     }
     if call.body_length.is_none_or(|length| length > WHOLE_BODY) {
         let rest = LinkBody::new(incoming, buffer);
-        return Ok(CallBody::Pieces(PieceSource::Link(rest)));
+        return Ok(CallBody::Streamed(BodySource::Link(rest)));
     }
     while let Some(piece) = next_data(&mut incoming).await {
         buffer.extend_from_slice(&piece?);
--- a/crates/mesh/src/serve_peers/news.rs
+++ b/crates/mesh/src/serve_peers/news.rs
@@ -140,7 +140,7 @@
         }
         LinkMessage::WantMembers => Some(shared.member_list()),
         LinkMessage::Members(list) if !shared.members.is_known.get() => {
-            match list.unpack() {
+            match list.decompress() {
                 Ok(hosts) => shared.take_members(hosts, "hello"),
                 Err(BadMessage) => log::error!("event=members_unreadable from=hello"),
             }
--- a/crates/mesh/src/target.rs
+++ b/crates/mesh/src/target.rs
@@ -16,7 +16,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
-use crate::body::{BodyBroken, CallBody};
+use crate::body::{BodyTruncated, CallBody};
 use crate::gate::RunPermit;
 use crate::messages::CallHead;
 use crate::sockets;
@@ -235,7 +235,7 @@
         (true, None, CallBody::Whole(whole)) => {
             bytes.extend_from_slice(format!("Content-Length: {}\r\n", whole.len()).as_bytes());
         }
-        (true, None, CallBody::Pieces(_)) => {
+        (true, None, CallBody::Streamed(_)) => {
             bytes.extend_from_slice(b"Transfer-Encoding: chunked\r\n");
         }
     }
@@ -256,7 +256,7 @@
         .any(|window| window == b"Transfer-Encoding: chunked");
     let failed = |_| ExchangeEnd::BrokenOff("write failed");
     writer.write_all(&start).await.map_err(failed)?;
-    let CallBody::Pieces(mut pieces) = body else {
+    let CallBody::Streamed(mut pieces) = body else {
         return Ok(());
     };
     while let Some(piece) = pieces
@@ -341,8 +341,8 @@
     /// The next piece; `None` at the end.
     ///
     /// # Errors
-    /// [`BodyBroken`] when the target broke off.
-    pub async fn next(&mut self) -> Result<Option<Bytes>, BodyBroken> {
+    /// [`BodyTruncated`] when the target broke off.
+    pub async fn next(&mut self) -> Result<Option<Bytes>, BodyTruncated> {
         let Some(connection) = &mut self.connection else {
             return Ok(None);
         };
@@ -357,7 +357,7 @@
                 if let Some(permit) = self.permit.take() {
                     permit.broke_off();
                 }
-                Err(BodyBroken)
+                Err(BodyTruncated)
             }
         }
     }
--- a/crates/mesh/src/versions.rs
+++ b/crates/mesh/src/versions.rs
@@ -104,7 +104,7 @@
     pub fn deflated(&self) -> Bytes {
         let mut kept = self.deflated.borrow_mut();
         if kept.is_empty() {
-            *kept = deflate::pack(&self.text.borrow()).into();
+            *kept = deflate::compress(&self.text.borrow()).into();
         }
         kept.clone()
     }
@@ -181,7 +181,7 @@
 
     /// Puts a version whose text came deflated in force, if it is newer.
     pub fn offer_deflated(&self, deflated: &[u8], from: &str) {
-        match deflate::unpack(deflated) {
+        match deflate::decompress(deflated) {
             Ok(text) => self.offer_version(&text.into(), from),
             Err(error) => log::error!("event=version_refused from={from} error=\"{error}\""),
         }
