--- a/crates/mesh/src/deflate.rs
+++ b/crates/mesh/src/deflate.rs
@@ -1,5 +1,4 @@
-//! Deflated bytes, for what goes over slow links and says much the same many
-//! times over.
+//! DEFLATE compression for repetitive data that is sent over slow links.
 
 use std::io::{self, Read, Write};
 
@@ -7,12 +6,12 @@
 use flate2::write::DeflateEncoder;
 use flate2::Compression;
 
-/// Longest plain bytes that are taken: some ten times the configuration of the
-/// largest mesh aimed at.
-const MOST_PLAIN: u64 = 64 * 1024 * 1024;
+/// Limit on the size of decompressed data, in bytes. It is about ten times the
+/// configuration of the largest mesh that is supported.
+const MAX_DECOMPRESSED_BYTES: u64 = 64 * 1024 * 1024;
 
-/// Deflates `plain`, quickly rather than well: a configuration of 1,200 routes
-/// goes from some 300 KB to some 30 either way.
+/// Compresses `plain` at the fastest level: a configuration of 1,200 routes
+/// shrinks from about 300 KB to about 30 KB at any level.
 ///
 /// # Panics
 /// Never: writing to memory does not fail.
@@ -25,13 +24,14 @@
         .expect("writing to memory does not fail")
 }
 
-/// The plain bytes.
+/// Decompresses `deflated`.
 ///
 /// # Errors
-/// When the bytes were not deflated, or are too many.
+/// If the input is not DEFLATE data, or if the output reaches
+/// [`MAX_DECOMPRESSED_BYTES`].
 pub fn decompress(deflated: &[u8]) -> io::Result<Vec<u8>> {
     let mut plain = Vec::new();
-    let mut decoder = DeflateDecoder::new(deflated).take(MOST_PLAIN);
+    let mut decoder = DeflateDecoder::new(deflated).take(MAX_DECOMPRESSED_BYTES);
     decoder.read_to_end(&mut plain)?;
     if decoder.limit() == 0 {
         return Err(io::Error::from(io::ErrorKind::InvalidData));
--- a/crates/mesh/src/egress.rs
+++ b/crates/mesh/src/egress.rs
@@ -1,4 +1,4 @@
-//! The pace at which answers leave this host for others.
+//! Paces the answers that this host sends over its link.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -8,7 +8,7 @@
 use filbert_policy::egress::{EgressDecision, EgressQueue, EgressTicket, MAX_UNPACED_BYTES};
 use tokio::sync::Notify;
 
-/// The way out of this host.
+/// Makes senders of answers wait for their turn on this host's link.
 pub struct EgressPacer {
     queue: RefCell<EgressQueue>,
     clock: Rc<dyn Clock>,
@@ -16,7 +16,7 @@
 }
 
 impl EgressPacer {
-    /// A way out over a link of `mbps` Mbit/s; 0 when it is no limit.
+    /// Creates a pacer for a link of `mbps` Mbit/s; 0 means no limit.
     #[must_use]
     pub fn new(mbps: f64, clock: Rc<dyn Clock>) -> Rc<EgressPacer> {
         Rc::new(EgressPacer {
@@ -26,37 +26,37 @@
         })
     }
 
-    /// Takes over a changed rate.
+    /// Sets the link's rate in Mbit/s; 0 means no limit.
     pub fn set_rate(&self, mbps: f64) {
         self.queue.borrow_mut().set_rate(mbps);
     }
 
-    /// The time by this way's clock.
+    /// Current time of the pacer's clock.
     #[must_use]
     pub fn now(&self) -> Instant {
         self.clock.now()
     }
 
-    /// Time that `bytes` take on the link.
+    /// Time that the link needs to send `bytes`.
     #[must_use]
     pub fn transmission_time(&self, bytes: u64) -> Duration {
         self.queue.borrow().transmission_time(bytes)
     }
 
-    /// Time until all is out that waits or was promised.
+    /// Time until the link has sent all queued and reserved bytes.
     #[must_use]
     pub fn backlog(&self) -> Duration {
         self.queue.borrow().backlog(self.clock.now())
     }
 
-    /// Time that an answer of `bytes` would wait for others before it leaves.
+    /// Time that an answer of `bytes` would wait in the queue before it is sent.
     #[must_use]
     pub fn queueing_delay(&self, bytes: u64) -> Duration {
         self.queue.borrow().queueing_delay(bytes, self.clock.now())
     }
 
-    /// Counts an answer of about `bytes` that will want to leave, until the
-    /// promise is dropped.
+    /// Reserves link time for an answer of about `bytes` until the reservation is
+    /// dropped.
     #[must_use]
     pub fn reserve(self: &Rc<Self>, bytes: u64) -> AnswerReservation {
         self.queue.borrow_mut().reserve(bytes);
@@ -66,16 +66,17 @@
         }
     }
 
-    /// Waits until `bytes` may leave, of an answer of which `left` are left, and
-    /// whose caller waits until `due`.
-    pub async fn pace(&self, bytes: u64, left: u64, due: Instant) {
-        if left <= MAX_UNPACED_BYTES {
+    /// Waits until the next chunk of an answer, `bytes` long, may be sent. The
+    /// answer has `remaining` bytes left, this chunk included, and its caller
+    /// waits until `due`.
+    pub async fn pace(&self, bytes: u64, remaining: u64, due: Instant) {
+        if remaining <= MAX_UNPACED_BYTES {
             let now = self.clock.now();
             self.queue.borrow_mut().record_sent(bytes, now);
             return;
         }
-        let ticket = self.queue.borrow_mut().enqueue(bytes, left, due);
-        let place = LinePlace {
+        let ticket = self.queue.borrow_mut().enqueue(bytes, remaining, due);
+        let queued_chunk = QueuedChunk {
             pacer: self,
             ticket,
         };
@@ -91,11 +92,12 @@
                 EgressDecision::Blocked => changed.await,
             }
         }
-        drop(place);
+        drop(queued_chunk);
     }
 }
 
-/// An answer that will want to leave.
+/// Link time reserved for an answer that is not complete yet. Dropping it
+/// releases the reservation.
 pub struct AnswerReservation {
     pacer: Rc<EgressPacer>,
     bytes: u64,
@@ -107,14 +109,14 @@
     }
 }
 
-/// Guards against a line that stands still behind an answer whose caller has
-/// left.
-struct LinePlace<'a> {
+/// A chunk in the queue. Dropping it removes the chunk, so that the queue is not
+/// blocked by an answer whose caller has disconnected.
+struct QueuedChunk<'a> {
     pacer: &'a EgressPacer,
     ticket: EgressTicket,
 }
 
-impl Drop for LinePlace<'_> {
+impl Drop for QueuedChunk<'_> {
     fn drop(&mut self) {
         self.pacer.queue.borrow_mut().cancel(self.ticket);
         self.pacer.changed.notify_waiters();
