--- a/crates/mesh/src/body.rs
+++ b/crates/mesh/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies on their way through the daemon, piece by piece.
+//! Bodies of calls and answers, streamed through the daemon.
 
 use std::sync::Arc;
 
@@ -10,39 +10,40 @@
 use crate::peers::LinkUse;
 use crate::target::RunBody;
 
-/// The sender of a body went away before it was whole.
+/// Error: the sender of a body ended it before it was complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BodyTruncated;
 
 /// A call's body.
 #[derive(Debug)]
 pub enum CallBody {
-    /// All of it. Such a call can be sent again.
+    /// The complete body. A call with such a body can be sent again.
     Whole(Bytes),
-    /// The start, and where the rest comes from. Its call is sent once.
+    /// A body that is forwarded while it is read. A call with such a body is
+    /// sent only once.
     Streamed(BodySource),
 }
 
-/// Where the pieces of a body come from.
+/// Source of the data of a streamed call body.
 #[derive(Debug)]
 pub enum BodySource {
-    /// A client on this host.
+    /// A client on this host. An empty buffer marks the end of the body.
     Client(mpsc::Receiver<Bytes>),
-    /// Another daemon.
+    /// Another daemon, over the link to it.
     Link(LinkBody),
 }
 
 impl BodySource {
-    /// The next piece; `None` at the end.
+    /// Reads the next data; `None` at the end of the body.
     ///
     /// # Errors
-    /// [`BodyTruncated`] when the sender went away. (A client's pieces end with
-    /// an empty one; a channel that closes without was broken off.)
+    /// [`BodyTruncated`] if the sender went away, for a client also if its
+    /// channel closes without the empty buffer that marks the end.
     pub async fn next(&mut self) -> Result<Option<Bytes>, BodyTruncated> {
         match self {
-            BodySource::Client(pieces) => match pieces.recv().await {
-                Some(piece) if piece.is_empty() => Ok(None),
-                Some(piece) => Ok(Some(piece)),
+            BodySource::Client(queue) => match queue.recv().await {
+                Some(data) if data.is_empty() => Ok(None),
+                Some(data) => Ok(Some(data)),
                 None => Err(BodyTruncated),
             },
             BodySource::Link(body) => body.next().await,
@@ -50,49 +51,49 @@
     }
 }
 
-/// A body that comes over a link.
+/// A body received over a link.
 #[derive(Debug)]
 pub struct LinkBody {
     stream: RecvStream,
-    ahead: Bytes,
-    /// Keeps the link open until the body was read.
+    buffered: Bytes,
+    /// Keeps the link open until the body has been read.
     in_use: Option<LinkUse>,
 }
 
 impl LinkBody {
-    /// The rest of `stream`, behind what was read `ahead`.
+    /// Creates the body of the data `buffered` so far and the rest of `stream`.
     #[must_use]
-    pub fn new(stream: RecvStream, ahead: BytesMut) -> LinkBody {
+    pub fn new(stream: RecvStream, buffered: BytesMut) -> LinkBody {
         LinkBody {
             stream,
-            ahead: ahead.freeze(),
+            buffered: buffered.freeze(),
             in_use: None,
         }
     }
 
-    /// The same, holding the link that it comes over.
+    /// Keeps the link open until the body is dropped.
     #[must_use]
-    pub fn holding(self, in_use: LinkUse) -> LinkBody {
+    pub fn with_link_guard(self, in_use: LinkUse) -> LinkBody {
         LinkBody {
             in_use: Some(in_use),
             ..self
         }
     }
 
-    /// The next piece; `None` at the end.
+    /// Reads the next data; `None` at the end of the body.
     ///
     /// # Errors
-    /// [`BodyTruncated`] when the other daemon broke it off.
+    /// [`BodyTruncated`] if the other daemon or the link ended the stream early.
     pub async fn next(&mut self) -> Result<Option<Bytes>, BodyTruncated> {
-        if !self.ahead.is_empty() {
-            return Ok(Some(std::mem::take(&mut self.ahead)));
+        if !self.buffered.is_empty() {
+            return Ok(Some(std::mem::take(&mut self.buffered)));
         }
         match next_data(&mut self.stream).await {
-            Some(Ok(piece)) => {
+            Some(Ok(data)) => {
                 if let Some(link) = &self.in_use {
                     link.hear();
                 }
-                Ok(Some(piece))
+                Ok(Some(data))
             }
             Some(Err(_)) => Err(BodyTruncated),
             None => Ok(None),
@@ -100,23 +101,23 @@
     }
 }
 
-/// Reads the next bytes of a stream and gives their window back.
+/// Reads the next data of a stream and releases its flow-control window.
+/// Returns `None` at the end of the stream.
 ///
-/// Guards against an answer that seems to end twice: the frame that ends a
-/// stream is often empty, and an empty piece written as a chunk is the mark of
-/// a body's end. The client would find the real mark in front of its next
-/// answer.
+/// Skips empty frames. The frame that ends a stream is often empty, and empty
+/// data written in chunked encoding is the chunk that ends a body. The client
+/// would then read the real last chunk as the start of its next answer.
 pub async fn next_data(stream: &mut RecvStream) -> Option<Result<Bytes, h2::Error>> {
     loop {
-        let piece = match stream.data().await? {
-            Ok(piece) => piece,
+        let data = match stream.data().await? {
+            Ok(data) => data,
             Err(error) => return Some(Err(error)),
         };
-        if let Err(error) = stream.flow_control().release_capacity(piece.len()) {
+        if let Err(error) = stream.flow_control().release_capacity(data.len()) {
             return Some(Err(error));
         }
-        if !piece.is_empty() {
-            return Some(Ok(piece));
+        if !data.is_empty() {
+            return Some(Ok(data));
         }
     }
 }
@@ -124,138 +125,140 @@
 /// An answer's body.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// From the target beside this daemon.
+    /// Streamed from the target on this host.
     Run(Box<RunBody>),
-    /// From the target beside this daemon, read ahead of its taker.
+    /// Read from the target on this host into a buffer.
     Buffered(BufferedBody),
-    /// From another daemon.
+    /// Streamed from another daemon.
     Link(LinkBody),
-    /// Some of it, and where the rest comes from.
-    Begun(Vec<Bytes>, Box<AnswerBody>),
+    /// The data read so far, and the body that the rest is read from.
+    Partial(Vec<Bytes>, Box<AnswerBody>),
 }
 
 impl AnswerBody {
-    /// The next piece; `None` at the end.
+    /// Reads the next data; `None` at the end of the body.
     ///
     /// # Errors
-    /// [`BodyTruncated`] when the body was cut short.
+    /// [`BodyTruncated`] if the body ended early.
     pub async fn next(&mut self) -> Result<Option<Bytes>, BodyTruncated> {
         match self {
             AnswerBody::Whole(body) => {
-                let piece = std::mem::take(body);
-                Ok((!piece.is_empty()).then_some(piece))
+                let data = std::mem::take(body);
+                Ok((!data.is_empty()).then_some(data))
             }
             AnswerBody::Run(body) => body.next().await,
             AnswerBody::Buffered(body) => body.next().await,
             AnswerBody::Link(body) => body.next().await,
-            AnswerBody::Begun(pieces, rest) => {
-                if pieces.is_empty() {
+            AnswerBody::Partial(parts, rest) => {
+                if parts.is_empty() {
                     Box::pin(rest.next()).await
                 } else {
-                    Ok(Some(pieces.remove(0)))
+                    Ok(Some(parts.remove(0)))
                 }
             }
         }
     }
 
-    /// Reads up to `most` bytes ahead. An answer that is whole by then can
-    /// still be replaced by another attempt's if it breaks.
+    /// Reads ahead until the body is complete or more than `max_bytes` are
+    /// buffered. While an answer is read ahead, the answer of another attempt
+    /// can still replace it if its body is truncated.
     ///
     /// # Errors
-    /// [`BodyTruncated`] when the body was cut short.
-    pub async fn read_ahead(mut self, most: usize) -> Result<AnswerBody, BodyTruncated> {
-        let mut pieces = Vec::new();
-        let mut held = 0;
-        while held <= most {
+    /// [`BodyTruncated`] if the body ended early.
+    pub async fn read_ahead(mut self, max_bytes: usize) -> Result<AnswerBody, BodyTruncated> {
+        let mut parts = Vec::new();
+        let mut buffered = 0;
+        while buffered <= max_bytes {
             match self.next().await? {
-                Some(piece) => {
-                    held += piece.len();
-                    pieces.push(piece);
+                Some(data) => {
+                    buffered += data.len();
+                    parts.push(data);
                 }
-                None => return Ok(AnswerBody::Whole(join(pieces))),
+                None => return Ok(AnswerBody::Whole(concat(parts))),
             }
         }
-        Ok(AnswerBody::Begun(pieces, Box::new(self)))
+        Ok(AnswerBody::Partial(parts, Box::new(self)))
     }
 }
 
-/// Bytes of answers that a daemon holds ahead of their takers at most, in KiB.
-/// A slow link of 7.5 Mbit/s works them off in some 17 s; the smallest hosts
-/// give their daemon 88 MB.
+/// Maximum size in KiB of all answer data that a daemon buffers for
+/// [`BufferedBody`]. A slow link of 7.5 Mbit/s sends this much in about 17 s; on
+/// the smallest hosts the daemon has 88 MB of memory.
 pub const MAX_BUFFERED_ANSWER_KIB: usize = 16 * 1024;
 
-/// A piece read ahead, and its share of the room for such pieces.
-type HeldPiece = (Bytes, OwnedSemaphorePermit);
+/// Buffered data and the permit for its share of the buffer.
+type BufferedData = (Bytes, OwnedSemaphorePermit);
 
-/// The body of an answer that is read from its target as fast as that gives
-/// it, whatever the pace at which it leaves.
+/// An answer's body that is read from the target as fast as the target sends
+/// it, independent of how fast it is sent on.
 ///
-/// Guards against slots that are held while answers wait for a slow link: with
-/// nine slots and answers of 90 KB on 7.5 Mbit/s, each run seemed to take two
-/// to five seconds, and calls with short answers were turned away beside a
-/// target that had nothing to do.
+/// This frees the target's slot as soon as the target has finished. Without it,
+/// answers that waited for a slow link held their slots: with nine slots and
+/// answers of 90 KB on 7.5 Mbit/s, each run seemed to take two to five seconds,
+/// and calls with short answers were declined while the target was idle.
 #[derive(Debug)]
 pub struct BufferedBody {
-    pieces: mpsc::UnboundedReceiver<Result<HeldPiece, BodyTruncated>>,
+    queue: mpsc::UnboundedReceiver<Result<BufferedData, BodyTruncated>>,
     reader: JoinHandle<()>,
 }
 
 impl BufferedBody {
-    /// Reads `body` ahead, as far as `room` (in KiB) has room.
+    /// Starts to read `body`. Reading pauses while `free_kib`, a semaphore with one
+    /// permit per KiB, has too few permits.
     #[must_use]
-    pub fn start(mut body: Box<RunBody>, room: &Arc<Semaphore>) -> BufferedBody {
+    pub fn start(mut body: Box<RunBody>, free_kib: &Arc<Semaphore>) -> BufferedBody {
         const KIB: usize = 1024;
-        let (sender, pieces) = mpsc::unbounded_channel();
-        let room = Arc::clone(room);
+        let (sender, queue) = mpsc::unbounded_channel();
+        let free_kib = Arc::clone(free_kib);
         let reader = tokio::task::spawn_local(async move {
             loop {
-                let held = match body.next().await {
-                    Ok(Some(piece)) => {
-                        let share = u32::try_from(piece.len().div_ceil(KIB)).unwrap_or(u32::MAX);
-                        // The room is never closed.
-                        let Ok(share) = Arc::clone(&room).acquire_many_owned(share).await else {
+                let item = match body.next().await {
+                    Ok(Some(data)) => {
+                        let kib = u32::try_from(data.len().div_ceil(KIB)).unwrap_or(u32::MAX);
+                        // The semaphore is never closed.
+                        let Ok(permit) = Arc::clone(&free_kib).acquire_many_owned(kib).await else {
                             return;
                         };
-                        Ok((piece, share))
+                        Ok((data, permit))
                     }
                     Ok(None) => return,
-                    Err(broken) => Err(broken),
+                    Err(error) => Err(error),
                 };
-                let is_end = held.is_err();
-                if sender.send(held).is_err() || is_end {
+                let is_last = item.is_err();
+                if sender.send(item).is_err() || is_last {
                     return;
                 }
             }
         });
-        BufferedBody { pieces, reader }
+        BufferedBody { queue, reader }
     }
 
     async fn next(&mut self) -> Result<Option<Bytes>, BodyTruncated> {
-        match self.pieces.recv().await {
-            Some(Ok((piece, _share))) => Ok(Some(piece)),
-            Some(Err(broken)) => Err(broken),
+        match self.queue.recv().await {
+            Some(Ok((data, _permit))) => Ok(Some(data)),
+            Some(Err(error)) => Err(error),
             None => Ok(None),
         }
     }
 }
 
 impl Drop for BufferedBody {
-    /// Guards against work for a caller that has left: the target's connection
-    /// closes, and the target drops the run.
+    /// Closes the connection to the target, so that the target stops a run whose
+    /// caller has disconnected.
     fn drop(&mut self) {
         self.reader.abort();
     }
 }
 
-fn join(mut pieces: Vec<Bytes>) -> Bytes {
-    if pieces.len() == 1 {
-        return pieces.remove(0);
+fn concat(mut parts: Vec<Bytes>) -> Bytes {
+    if parts.len() == 1 {
+        return parts.remove(0);
     }
-    let mut whole = BytesMut::with_capacity(pieces.iter().map(Bytes::len).sum());
-    for piece in pieces {
-        whole.extend_from_slice(&piece);
+    let mut joined = BytesMut::with_capacity(parts.iter().map(Bytes::len).sum());
+    for data in parts {
+        joined.extend_from_slice(&data);
     }
-    whole.freeze()
+    joined.freeze()
 }
--- a/crates/mesh/src/calls/admit.rs
+++ b/crates/mesh/src/calls/admit.rs
@@ -1,4 +1,4 @@
-//! Whether a call's organisation may make it.
+//! Admits calls by their organisation's API key and quota.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -7,69 +7,74 @@
 use filbert_policy::routing::{RouteIndex, RouteRule};
 use rand::Rng;
 
-use super::story::CallStory;
-use super::{refuse, ClientAnswer, ClientCall, NOT_ALLOWED, TOO_MANY};
+use super::story::AccessLogEntry;
+use super::{service_unavailable, ClientAnswer, ClientCall, TOO_MANY_REQUESTS, UNAUTHORIZED};
 use crate::organisations::tokens::TokenHold;
 use crate::organisations::CallHolder;
 use crate::state::MeshShared;
 
-/// When to come back to a daemon that does not know whether a key still holds.
-const KEYS_AGAIN: Duration = Duration::from_millis(500);
-/// Part of the time until there are tokens again over which callers return.
-const SPREAD: f64 = 0.5;
+/// Time after which a client should retry if this daemon's configuration is too
+/// old to tell whether a key is still valid.
+const STALE_KEYS_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Maximum jitter on the retry time of calls over quota, as a fraction of the time
+/// until the next token. It spreads the retries, which would otherwise arrive at
+/// the same moment.
+const QUOTA_RETRY_JITTER: f64 = 0.5;
 
-/// Notes whose `call` is and takes the right to run it, where that is counted.
+/// Sets the organisation of `call` and takes a quota token for it. Returns `None`
+/// if the call needs no token: its route is public, it belongs to no organisation,
+/// or its organisation has no quota.
 ///
 /// # Errors
-/// The answer to a call that may not run.
+/// The answer to a call that is not admitted.
 pub(super) async fn admit(
     shared: &Rc<MeshShared>,
     index: &RouteIndex,
     route: &RouteRule,
     call: &mut ClientCall,
-    limit: Instant,
-    story: &mut CallStory,
+    deadline: Instant,
+    log_entry: &mut AccessLogEntry,
 ) -> Result<Option<TokenHold>, ClientAnswer> {
-    let key = headers::read_api_key(&call.head);
-    let desk = &shared.organisations;
-    let holder = match desk.holder(index, route, key) {
+    let api_key = headers::read_api_key(&call.head);
+    let organisations = &shared.organisations;
+    let organisation = match organisations.holder(index, route, api_key) {
         CallHolder::Nobody => return Ok(None),
-        CallHolder::Organisation(holder) => holder,
+        CallHolder::Organisation(organisation) => organisation,
         CallHolder::Unknown => {
             shared.metrics.keyed("unknown");
-            story.reason = "unknown_key";
-            return Err(ClientAnswer::own(NOT_ALLOWED));
+            log_entry.reason = "unknown_key";
+            return Err(ClientAnswer::local(UNAUTHORIZED));
         }
         CallHolder::Stale => {
             shared.metrics.keyed("out_of_date");
-            story.reason = "keys_out_of_date";
-            return Err(refuse(KEYS_AGAIN));
+            log_entry.reason = "keys_out_of_date";
+            return Err(service_unavailable(STALE_KEYS_RETRY_AFTER));
         }
     };
-    story.organisation.clone_from(&holder.name);
+    log_entry.organisation.clone_from(&organisation.name);
     let token = if route.is_public {
         None
     } else {
-        match shared.take_token(&holder, limit).await {
+        match shared.take_token(&organisation, deadline).await {
             Ok(token) => token,
             Err(next_token_in) => {
                 shared.metrics.keyed("over_quota");
-                desk.counts.over_quota(&holder.name);
-                story.reason = "over_quota";
+                organisations.counts.over_quota(&organisation.name);
+                log_entry.reason = "over_quota";
                 return Err(over_quota(next_token_in));
             }
         }
     };
     shared.metrics.keyed("allowed");
-    desk.counts.allowed(&holder.name);
-    call.holder = Some(holder);
+    organisations.counts.allowed(&organisation.name);
+    call.organisation = Some(organisation);
     Ok(token)
 }
 
 fn over_quota(next_token_in: Duration) -> ClientAnswer {
-    let later = 1.0 + SPREAD * rand::rng().random::<f64>();
-    ClientAnswer::Own {
-        status: TOO_MANY,
-        come_back: Some(next_token_in.mul_f64(later)),
+    let jitter_factor = 1.0 + QUOTA_RETRY_JITTER * rand::rng().random::<f64>();
+    ClientAnswer::Local {
+        status: TOO_MANY_REQUESTS,
+        retry_after: Some(next_token_in.mul_f64(jitter_factor)),
     }
 }
--- a/crates/mesh/src/calls/attempt.rs
+++ b/crates/mesh/src/calls/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt at a target: here, or over the link to its host.
+//! One attempt to run a call at a target, on this host or over the link to the
+//! target's host.
 
 use std::future::{poll_fn, Future};
 use std::pin::Pin;
@@ -10,7 +11,7 @@
 use filbert_policy::admission::LinkTime;
 use http::Request;
 
-use super::pick::{Candidate, PickedTarget};
+use super::pick::{Destination, PickedTarget};
 use crate::body::{next_data, AnswerBody, CallBody, LinkBody};
 use crate::links::CALL_PATH;
 use crate::messages::{encode, take, AnswerHead, CallHead, ReplyHead};
@@ -19,76 +20,76 @@
 use crate::serve_peers::send_piece;
 use crate::state::MeshShared;
 
-/// Bytes of an answer read before its head is passed on: while it is not,
-/// a broken answer can still be replaced by another attempt's. Covers whole
-/// answers of all but downloads.
-const READ_AHEAD: usize = 32 * 1024;
-/// A call without an answer for this long, over a link on which nothing else
-/// came either, asks whether the link still works.
-const DOUBT_AFTER: Duration = Duration::from_millis(150);
+/// Number of bytes of an answer's body that are read before its head is forwarded.
+/// Until then the answer of another attempt can replace it if its body is
+/// truncated. The limit covers the complete answers of all calls but downloads.
+const READ_AHEAD_BYTES: usize = 32 * 1024;
+/// Time after which a call without an answer requests a PING on its link, if
+/// nothing else was received over the link in that time either.
+const PING_IDLE_TIME: Duration = Duration::from_millis(150);
 
 /// How one attempt ended.
 pub(super) enum AttemptOutcome {
-    /// With the target's answer.
+    /// The target answered.
     Answer {
-        /// Its head.
+        /// Status and headers of the answer.
         head: AnswerHead,
-        /// Its body.
+        /// Body of the answer, read ahead.
         body: AnswerBody,
-        /// Time from the start of the run to the head.
-        ran: Duration,
+        /// Time from the start of the run to the answer's head.
+        time_to_head: Duration,
     },
-    /// The target saw nothing.
+    /// The call was declined, or could not be sent. It did not reach the target.
     Declined {
-        /// When room is expected there.
+        /// Time until the target is expected to have capacity.
         room_in: Duration,
     },
-    /// The target said that it did not run the call.
+    /// The target rejected the call and stated that it did not run it.
     Rejected,
-    /// The call is held back, and the target saw nothing.
+    /// The quarantine held the call back. It did not reach the target.
     HeldBack {
-        /// How long.
-        left: Duration,
+        /// Time until the hold ends.
+        remaining_hold: Duration,
     },
-    /// The call may have run.
+    /// The call may have run, but no complete answer arrived.
     Lost,
 }
 
-/// An attempt under way; dropping it cancels the call.
+/// An attempt in progress. Dropping it cancels the call at the target.
 pub(super) struct RunningAttempt {
-    /// The target's host.
+    /// Name of the target's host.
     pub(super) host: String,
-    end: Pin<Box<dyn Future<Output = AttemptOutcome>>>,
+    outcome: Pin<Box<dyn Future<Output = AttemptOutcome>>>,
 }
 
 impl RunningAttempt {
-    /// Waits for its end.
-    pub(super) async fn end(&mut self) -> AttemptOutcome {
-        (&mut self.end).await
+    /// Waits until the attempt ends.
+    pub(super) async fn outcome(&mut self) -> AttemptOutcome {
+        (&mut self.outcome).await
     }
 }
 
-/// Sends a call to `target`.
-pub(super) fn start(
+/// Starts an attempt to run a call at `target`.
+pub(super) fn start_attempt(
     shared: &Rc<MeshShared>,
     target: &PickedTarget,
     head: &CallHead,
     body: CallBody,
 ) -> RunningAttempt {
-    let candidate = target.candidate.clone();
+    let destination = target.destination.clone();
     RunningAttempt {
         host: target.host.clone(),
-        end: Box::pin(attempt(Rc::clone(shared), candidate, head.clone(), body)),
+        outcome: Box::pin(attempt(Rc::clone(shared), destination, head.clone(), body)),
     }
 }
 
-/// The first of `running` that ends, with its host; it is taken out. Never when
-/// there is none.
-pub(super) async fn first_end(running: &mut Vec<RunningAttempt>) -> (String, AttemptOutcome) {
+/// Waits for the first of `attempts` to end, removes it and returns its host and
+/// outcome. Never completes if `attempts` is empty.
+pub(super) async fn first_outcome(attempts: &mut Vec<RunningAttempt>) -> (String, AttemptOutcome) {
     poll_fn(|context| {
-        for index in 0..running.len() {
-            if let Poll::Ready(outcome) = running[index].end.as_mut().poll(context) {
-                let ended = running.swap_remove(index);
+        for index in 0..attempts.len() {
+            if let Poll::Ready(outcome) = attempts[index].outcome.as_mut().poll(context) {
+                let ended = attempts.swap_remove(index);
                 return Poll::Ready((ended.host, outcome));
             }
         }
@@ -99,15 +100,15 @@
 
 async fn attempt(
     shared: Rc<MeshShared>,
-    candidate: Candidate,
+    destination: Destination,
     head: CallHead,
     body: CallBody,
 ) -> AttemptOutcome {
-    let (reply, body) = match &candidate {
-        Candidate::Here => shared.gate.run(&head, body, LinkTime::default()).await,
-        Candidate::Peer(peer) => match run_at_peer(&shared, peer, &head, body).await {
+    let (reply, body) = match &destination {
+        Destination::Local => shared.gate.run(&head, body, LinkTime::default()).await,
+        Destination::Peer(peer) => match run_on_peer(&shared, peer, &head, body).await {
             Ok((reply, body)) => {
-                note_reply(peer, &reply);
+                update_target_state(peer, &reply);
                 (reply, body)
             }
             Err(outcome) => return outcome,
@@ -119,7 +120,7 @@
         },
         ReplyHead::Rejected { .. } => AttemptOutcome::Rejected,
         ReplyHead::HeldBack { left_us, .. } => AttemptOutcome::HeldBack {
-            left: Duration::from_micros(left_us),
+            remaining_hold: Duration::from_micros(left_us),
         },
         ReplyHead::Lost { ended, .. } => {
             if let Some(crash) = ended {
@@ -127,18 +128,18 @@
             }
             AttemptOutcome::Lost
         }
-        ReplyHead::Answer { head, ran_us, .. } => match body.read_ahead(READ_AHEAD).await {
+        ReplyHead::Answer { head, ran_us, .. } => match body.read_ahead(READ_AHEAD_BYTES).await {
             Ok(body) => AttemptOutcome::Answer {
                 head,
                 body,
-                ran: Duration::from_micros(ran_us),
+                time_to_head: Duration::from_micros(ran_us),
             },
             Err(_) => AttemptOutcome::Lost,
         },
     }
 }
 
-fn cause_of(reply: &ReplyHead) -> CrossingCause {
+fn crossing_cause(reply: &ReplyHead) -> CrossingCause {
     match reply {
         ReplyHead::Answer { .. } => CrossingCause::Answer,
         ReplyHead::Declined { .. }
@@ -148,7 +149,7 @@
     }
 }
 
-fn note_reply(peer: &Peer, reply: &ReplyHead) {
+fn update_target_state(peer: &Peer, reply: &ReplyHead) {
     match reply {
         ReplyHead::Declined { closed: true, .. } => peer.mark_closed(),
         ReplyHead::Declined { load, .. }
@@ -160,7 +161,11 @@
 }
 
 /// Sends a call over the link to `peer` and reads the head of the reply.
-async fn run_at_peer(
+///
+/// # Errors
+/// [`AttemptOutcome::Declined`] if the call could not be sent,
+/// [`AttemptOutcome::Lost`] if the link or the call's body failed afterwards.
+async fn run_on_peer(
     shared: &MeshShared,
     peer: &Rc<Peer>,
     head: &CallHead,
@@ -173,29 +178,30 @@
     let in_use = LinkUse::new(peer, &shared.clock);
     let mut link = link.ready().await.map_err(|_| not_sent())?;
     let request = Request::post(CALL_PATH).body(()).map_err(|_| not_sent())?;
-    let (answer, mut outgoing) = link.send_request(request, false).map_err(|_| not_sent())?;
+    let (response, mut outgoing) = link.send_request(request, false).map_err(|_| not_sent())?;
     peer.count_sent();
     let lost = |_| AttemptOutcome::Lost;
     let reply = async {
-        let mut incoming = answer.await?.into_body();
+        let mut incoming = response.await?.into_body();
         let mut buffer = BytesMut::new();
         loop {
-            let unread = buffer.len();
+            let buffered_before = buffer.len();
             match take::<ReplyHead>(&mut buffer) {
                 Ok(Some(reply)) => {
-                    let length = match &reply {
+                    let body_length = match &reply {
                         ReplyHead::Answer { head, .. } => head.body_length.unwrap_or(0),
                         _ => 0,
                     };
-                    let bytes = unread - buffer.len() + usize::try_from(length).unwrap_or(0);
-                    shared.count_crossing(peer, cause_of(&reply), bytes);
+                    let bytes =
+                        buffered_before - buffer.len() + usize::try_from(body_length).unwrap_or(0);
+                    shared.count_crossing(peer, crossing_cause(&reply), bytes);
                     return Ok(Some((reply, LinkBody::new(incoming, buffer))));
                 }
                 Ok(None) => {}
                 Err(_) => return Ok(None),
             }
             match next_data(&mut incoming).await {
-                Some(piece) => buffer.extend_from_slice(&piece?),
+                Some(data) => buffer.extend_from_slice(&data?),
                 None => return Ok(None),
             }
         }
@@ -203,16 +209,18 @@
     let send = async {
         match body {
             CallBody::Whole(whole) => {
-                let mut start = BytesMut::from(encode(head));
-                start.extend_from_slice(&whole);
-                shared.count_crossing(peer, CrossingCause::Call, start.len());
-                outgoing.send_data(start.freeze(), true).map_err(|_| ())?;
+                let mut first_data = BytesMut::from(encode(head));
+                first_data.extend_from_slice(&whole);
+                shared.count_crossing(peer, CrossingCause::Call, first_data.len());
+                outgoing
+                    .send_data(first_data.freeze(), true)
+                    .map_err(|_| ())?;
             }
-            CallBody::Streamed(mut pieces) => {
+            CallBody::Streamed(mut source) => {
                 outgoing.send_data(encode(head), false).map_err(|_| ())?;
-                while let Some(piece) = pieces.next().await.map_err(|_| ())? {
-                    shared.count_crossing(peer, CrossingCause::Call, piece.len());
-                    send_piece(&mut outgoing, piece).await.map_err(|_| ())?;
+                while let Some(data) = source.next().await.map_err(|_| ())? {
+                    shared.count_crossing(peer, CrossingCause::Call, data.len());
+                    send_piece(&mut outgoing, data).await.map_err(|_| ())?;
                 }
                 outgoing.send_data(Bytes::new(), true).map_err(|_| ())?;
             }
@@ -222,22 +230,22 @@
     tokio::pin!(reply);
     tokio::pin!(send);
     let mut is_sent = false;
-    let received: Result<_, h2::Error> = loop {
+    let result: Result<_, h2::Error> = loop {
         tokio::select! {
             biased;
-            done = &mut send, if !is_sent => match done {
+            result = &mut send, if !is_sent => match result {
                 Ok(()) => is_sent = true,
                 Err(()) => return Err(AttemptOutcome::Lost),
             },
-            received = &mut reply => break received,
-            () = tokio::time::sleep(DOUBT_AFTER) => {
-                peer.doubt(shared.clock.now(), DOUBT_AFTER);
+            result = &mut reply => break result,
+            () = tokio::time::sleep(PING_IDLE_TIME) => {
+                peer.doubt(shared.clock.now(), PING_IDLE_TIME);
             }
         }
     };
     peer.hear(shared.clock.now());
-    match received.map_err(lost)? {
-        Some((reply, body)) => Ok((reply, AnswerBody::Link(body.holding(in_use)))),
+    match result.map_err(lost)? {
+        Some((reply, body)) => Ok((reply, AnswerBody::Link(body.with_link_guard(in_use)))),
         None => Err(AttemptOutcome::Lost),
     }
 }
--- a/crates/mesh/src/calls/message.rs
+++ b/crates/mesh/src/calls/message.rs
@@ -1,4 +1,4 @@
-//! A client's call as the message that its attempts carry.
+//! Converts a client's call to the head and body that its attempts send.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -12,18 +12,24 @@
 use crate::messages::{CallHead, UsualRun};
 use crate::state::MeshShared;
 
-/// Until when an answer is worth most, counted from the client's first try.
-/// A client that does not say how long it waits has all of its aim.
-pub(super) fn aim_of(shared: &MeshShared, route: &RouteRule, call: &ClientCall) -> Instant {
-    let passed = call
+/// Soft deadline of a call, counted from the client's first attempt. For a client
+/// that sends no timeout, the first attempt is assumed to be this one.
+pub(super) fn estimate_soft_deadline(
+    shared: &MeshShared,
+    route: &RouteRule,
+    call: &ClientCall,
+) -> Instant {
+    let elapsed = call
         .headers
         .time_left
-        .map_or(Duration::ZERO, |wait| shared.note_wait(&route.name, wait));
-    call.received + route.soft_deadline.saturating_sub(passed)
+        .map_or(Duration::ZERO, |client_timeout| {
+            shared.note_wait(&route.name, client_timeout)
+        });
+    call.received + route.soft_deadline.saturating_sub(elapsed)
 }
 
-/// The call's message to `service`, and its body.
-pub(super) fn into_message(
+/// Converts a call to the head that its attempts send to `service`, and its body.
+pub(super) fn into_call_parts(
     shared: &MeshShared,
     route: &RouteRule,
     service: &str,
@@ -34,10 +40,17 @@
         CallBody::Whole(body) => Some(body.len() as u64),
         CallBody::Streamed(_) => call.head.framing.length(),
     };
-    let own_priority = call.holder.as_ref().and_then(|holder| holder.priority);
-    let call_priority = own_priority.unwrap_or(route.priority);
+    let organisation_priority = call
+        .organisation
+        .as_ref()
+        .and_then(|organisation| organisation.priority);
+    let call_priority = organisation_priority.unwrap_or(route.priority);
     let head = CallHead {
-        lines: headers::target_header_lines(&call.head, &settings.service, call.organisation()),
+        lines: headers::target_header_lines(
+            &call.head,
+            &settings.service,
+            call.organisation_name(),
+        ),
         id: call.headers.id,
         identity: call.identity,
         service: service.to_owned(),
@@ -56,35 +69,37 @@
     (head, call.body)
 }
 
-/// Gives each attempt its copy of a body, as long as there is one.
-pub(super) struct BodyCopies {
+/// Provides each attempt with the call's body. Only a complete body can be
+/// replayed; a streamed body is given to the first attempt.
+pub(super) struct ReplayBody {
     whole: Option<Bytes>,
-    pieces: Option<CallBody>,
+    streamed: Option<CallBody>,
 }
 
-impl BodyCopies {
-    pub(super) fn new(body: CallBody) -> BodyCopies {
+impl ReplayBody {
+    pub(super) fn new(body: CallBody) -> ReplayBody {
         match body {
-            CallBody::Whole(whole) => BodyCopies {
+            CallBody::Whole(whole) => ReplayBody {
                 whole: Some(whole),
-                pieces: None,
+                streamed: None,
             },
-            pieces @ CallBody::Streamed(_) => BodyCopies {
+            streamed @ CallBody::Streamed(_) => ReplayBody {
                 whole: None,
-                pieces: Some(pieces),
+                streamed: Some(streamed),
             },
         }
     }
 
-    /// Whether another attempt gets one too.
-    pub(super) fn is_copyable(&self) -> bool {
+    /// Whether further attempts get the body too.
+    pub(super) fn is_replayable(&self) -> bool {
         self.whole.is_some()
     }
 
-    /// The body for the next attempt.
+    /// The body for the next attempt; empty if a streamed body was already given
+    /// to an earlier attempt.
     pub(super) fn next(&mut self) -> CallBody {
-        match (&self.whole, self.pieces.take()) {
-            (_, Some(pieces)) => pieces,
+        match (&self.whole, self.streamed.take()) {
+            (_, Some(streamed)) => streamed,
             (Some(whole), None) => CallBody::Whole(whole.clone()),
             (None, None) => CallBody::Whole(Bytes::new()),
         }
--- a/crates/mesh/src/calls/mod.rs
+++ b/crates/mesh/src/calls/mod.rs
@@ -1,5 +1,5 @@
-//! The caller's side: routes a client's call, places it, sends it again where
-//! that is right, and answers for it.
+//! The caller's side: routes a client's call, dispatches it to a target, retries
+//! it where that is allowed, and answers the client.
 
 mod admit;
 mod attempt;
@@ -22,135 +22,142 @@
 use crate::messages::AnswerHead;
 use crate::state::MeshShared;
 use admit::admit;
-use place::{CallProgress, Placing};
-use story::CallStory;
+use place::{CallDispatch, CallProgress};
+use story::AccessLogEntry;
 
-/// Time on the way from and to a client: its wait began before its call was
-/// read, and an answer must reach it before the wait ends. The farthest
-/// clients are 8 ms away one way.
-const CLIENT_WAY: Duration = Duration::from_millis(20);
-/// When to come back to a daemon that knows no configuration yet.
-const NOT_YET: Duration = Duration::from_millis(250);
+/// Time subtracted from a client's timeout for the network between the client
+/// and this daemon: the timeout began before the call was read, and the answer
+/// must reach the client before it expires. The one-way delay of the farthest
+/// clients is 8 ms.
+const CLIENT_NETWORK_MARGIN: Duration = Duration::from_millis(20);
+/// Time after which a client should retry if the daemon has no configuration yet,
+/// or if a call's deadline passed before any attempt.
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-const NOT_ALLOWED: u16 = 401;
+const UNAUTHORIZED: u16 = 401;
 const NOT_FOUND: u16 = 404;
-const TOO_MANY: u16 = 429;
+const TOO_MANY_REQUESTS: u16 = 429;
 const BAD_GATEWAY: u16 = 502;
-const UNAVAILABLE: u16 = 503;
-const TIMED_OUT: u16 = 504;
-/// From this status on an answer is the target's failure.
-const FIRST_FAILURE: u16 = 500;
+const SERVICE_UNAVAILABLE: u16 = 503;
+const GATEWAY_TIMEOUT: u16 = 504;
+/// Lowest status of an answer that counts as a failure of the target.
+const MIN_SERVER_ERROR: u16 = 500;
 
 /// A client's call.
 #[derive(Debug)]
 pub struct ClientCall {
-    /// Its head.
+    /// Request line and headers.
     pub head: RequestHead,
-    /// What its headers say.
+    /// The platform's headers, decoded.
     pub headers: CallHeaders,
-    /// What it is, whichever try of its client it belongs to.
+    /// Identity of the call, the same for every retry by the client.
     pub identity: CallIdentity,
-    /// Its body.
+    /// The call's body.
     pub body: CallBody,
-    /// When it was read.
+    /// Time at which the head was read.
     pub received: Instant,
-    /// The organisation whose key it brings, once that is known.
-    pub holder: Option<Arc<OrganisationRule>>,
+    /// The organisation that the call's API key belongs to; `None` until the call
+    /// is admitted and for calls that belong to no organisation.
+    pub organisation: Option<Arc<OrganisationRule>>,
 }
 
 impl ClientCall {
-    /// The name of the organisation that it is counted for.
+    /// Name of the organisation that the call is counted for.
     #[must_use]
-    pub fn organisation(&self) -> Option<&str> {
-        self.holder.as_ref().map(|holder| holder.name.as_str())
+    pub fn organisation_name(&self) -> Option<&str> {
+        self.organisation
+            .as_ref()
+            .map(|organisation| organisation.name.as_str())
     }
 }
 
-/// What a client gets.
+/// The answer to a client's call.
 #[derive(Debug)]
 pub enum ClientAnswer {
-    /// The target's answer.
+    /// An answer of the target.
     Target(AnswerHead, AnswerBody),
-    /// One of our own, without a body.
-    Own {
-        /// Its status.
+    /// A local reply of this daemon, without a body.
+    Local {
+        /// Status code.
         status: u16,
-        /// When to come back.
-        come_back: Option<Duration>,
+        /// Time after which the client should retry, if any.
+        retry_after: Option<Duration>,
     },
 }
 
 impl ClientAnswer {
-    /// Whether it says that the call did not run.
-    fn says_not_run(&self) -> bool {
-        matches!(self, ClientAnswer::Own { status, .. } if *status == UNAVAILABLE)
+    /// Whether the answer tells the client that the call did not run.
+    fn reports_not_executed(&self) -> bool {
+        matches!(self, ClientAnswer::Local { status, .. } if *status == SERVICE_UNAVAILABLE)
     }
 
-    /// An answer of our own without a time to come back.
+    /// Creates a local reply without a retry time.
     #[must_use]
-    pub fn own(status: u16) -> ClientAnswer {
-        ClientAnswer::Own {
+    pub fn local(status: u16) -> ClientAnswer {
+        ClientAnswer::Local {
             status,
-            come_back: None,
+            retry_after: None,
         }
     }
 }
 
-/// Answers a client's call, and writes the line that says how it ended.
-pub async fn answer(shared: &Rc<MeshShared>, call: ClientCall) -> ClientAnswer {
+/// Runs a client's call, writes its access log line and returns the answer.
+pub async fn handle_call(shared: &Rc<MeshShared>, call: ClientCall) -> ClientAnswer {
     let index = shared.current_index();
-    let mut story = CallStory::new(&call, index.number());
+    let mut log_entry = AccessLogEntry::new(&call, index.number());
     let answer = if !shared.is_serving() {
-        story.reason = "not_serving";
-        refuse(NOT_YET)
+        log_entry.reason = "not_serving";
+        service_unavailable(NOT_READY_RETRY_AFTER)
     } else if let Some(route) = index.lookup(&call.headers.host, &call.head.target) {
-        answer_on_route(shared, &index, route, call, &mut story).await
+        handle_routed_call(shared, &index, route, call, &mut log_entry).await
     } else {
-        story.reason = "no_route";
-        ClientAnswer::own(NOT_FOUND)
+        log_entry.reason = "no_route";
+        ClientAnswer::local(NOT_FOUND)
     };
-    story.tell(shared, &answer);
+    log_entry.write(shared, &answer);
     answer
 }
 
-async fn answer_on_route(
+async fn handle_routed_call(
     shared: &Rc<MeshShared>,
     index: &RouteIndex,
     route: &RouteRule,
     mut call: ClientCall,
-    story: &mut CallStory,
+    log_entry: &mut AccessLogEntry,
 ) -> ClientAnswer {
-    let left = call.headers.time_left.map_or(route.timeout, |left| {
-        left.saturating_sub(CLIENT_WAY).min(route.timeout)
+    let time_left = call.headers.time_left.map_or(route.timeout, |time_left| {
+        time_left
+            .saturating_sub(CLIENT_NETWORK_MARGIN)
+            .min(route.timeout)
     });
-    let limit = call.received + left;
-    story.route.clone_from(&route.name);
-    let token = match admit(shared, index, route, &mut call, limit, story).await {
+    let deadline = call.received + time_left;
+    log_entry.route.clone_from(&route.name);
+    let token = match admit(shared, index, route, &mut call, deadline, log_entry).await {
         Ok(token) => token,
         Err(answer) => return answer,
     };
     let progress = CallProgress::default();
-    let placing = Placing::new(shared, route, call, limit, &progress, story);
-    let answer = match tokio::time::timeout_at(limit.into(), placing.run()).await {
+    let dispatch = CallDispatch::new(shared, route, call, deadline, &progress, log_entry);
+    let answer = match tokio::time::timeout_at(deadline.into(), dispatch.run()).await {
         Ok(answer) => answer,
         Err(_) if progress.may_have_run.get() || progress.in_attempt.get() => {
-            story.reason = "time_up";
-            ClientAnswer::own(TIMED_OUT)
+            log_entry.reason = "time_up";
+            ClientAnswer::local(GATEWAY_TIMEOUT)
         }
         Err(_) => {
-            story.reason = "no_time_left";
-            refuse(NOT_YET)
+            log_entry.reason = "no_time_left";
+            service_unavailable(NOT_READY_RETRY_AFTER)
         }
     };
-    if let (Some(token), true) = (token, answer.says_not_run()) {
+    if let (Some(token), true) = (token, answer.reports_not_executed()) {
         token.refund();
     }
     answer
 }
 
-fn refuse(come_back: Duration) -> ClientAnswer {
-    ClientAnswer::Own {
-        status: UNAVAILABLE,
-        come_back: Some(come_back),
+fn service_unavailable(retry_after: Duration) -> ClientAnswer {
+    ClientAnswer::Local {
+        status: SERVICE_UNAVAILABLE,
+        retry_after: Some(retry_after),
     }
 }
--- a/crates/mesh/src/calls/pick.rs
+++ b/crates/mesh/src/calls/pick.rs
@@ -1,4 +1,4 @@
-//! The targets a call can go to, and the choice among them.
+//! Collects the targets that can run a call and chooses one of them.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -15,40 +15,41 @@
 use crate::peers::Peer;
 use crate::state::MeshShared;
 
-/// Daemons taken to place calls on the same targets, at most. In a larger
-/// fleet each links to some targets only, so that about as many daemons share
-/// a target as in a small one.
-const MOST_ALIKE: usize = 13;
+/// Maximum number of daemons that are assumed to send calls to the same target.
+/// In a larger fleet each daemon links to some of the targets only, so that about
+/// as many daemons share a target as in a small fleet.
+const MAX_SHARING_DAEMONS: usize = 13;
 
-/// Where a call can go.
+/// Where a target runs.
 #[derive(Clone)]
-pub(super) enum Candidate {
-    /// To the target beside this daemon.
-    Here,
-    /// To another host.
+pub(super) enum Destination {
+    /// On this host.
+    Local,
+    /// On the host of this peer.
     Peer(Rc<Peer>),
 }
 
-/// A choice, and what it went by.
+/// The chosen target, and the data that the choice was based on.
 pub(super) struct PickedTarget {
-    /// Where the call goes.
-    pub(super) candidate: Candidate,
-    /// The host's name.
+    /// Where the target runs.
+    pub(super) destination: Destination,
+    /// Name of the target's host.
     pub(super) host: String,
-    /// The version of the target's software.
+    /// Version of the target's software.
     pub(super) software: String,
-    /// The target as it was seen.
+    /// State of the target at the time of the choice.
     pub(super) view: TargetView,
-    /// Targets there were to choose from.
-    pub(super) candidates: usize,
+    /// Number of targets that could be chosen.
+    pub(super) candidate_count: usize,
 }
 
-/// The best target for a call that was not tried yet.
-pub(super) fn pick(
+/// Chooses the best target for a call on a host that is not among `tried_hosts`.
+/// Returns `None` if no target can run the call.
+pub(super) fn pick_target(
     shared: &Rc<MeshShared>,
     route: &RouteRule,
     head: &CallHead,
-    tried: &[String],
+    tried_hosts: &[String],
 ) -> Option<PickedTarget> {
     let settings = Rc::clone(&shared.settings.borrow());
     let service = head.service.as_str();
@@ -57,14 +58,16 @@
         .borrow()
         .get(&route.name)
         .map_or(0.0, |history| history.answer_kib);
-    let usual = head.usual_run.map(RunTime::from);
-    let transfer_kib = answer_kib + kib(head.body_length.unwrap_or(0));
-    let mut seen = Vec::new();
+    let expected_run_time = head.usual_run.map(RunTime::from);
+    let transfer_kib = answer_kib + bytes_to_kib(head.body_length.unwrap_or(0));
+    let mut candidates = Vec::new();
     if let Some(status) = shared.gate.status() {
         let occupancy = f64::from(status.load.running + status.load.waiting);
-        if let Some(view) = view_of(&status, service, usual, true, occupancy).map(beside) {
-            seen.push(SeenTarget {
-                candidate: Candidate::Here,
+        if let Some(view) =
+            target_view(&status, service, expected_run_time, true, occupancy).map(without_link)
+        {
+            candidates.push(CandidateTarget {
+                destination: Destination::Local,
                 host: settings.id.clone(),
                 software: status.software,
                 view,
@@ -72,117 +75,130 @@
         }
     }
     for peer in shared.peers.all() {
-        let Some((status, sent)) = peer.target() else {
+        let Some((status, sent_since_report)) = peer.target() else {
             continue;
         };
         let in_zone = peer.address.zone == settings.zone;
         let reported = status.load.running + status.load.waiting;
-        let occupancy = estimated_occupancy(reported, sent, shared.daemons().min(MOST_ALIKE));
-        let Some(mut view) = view_of(&status, service, usual, in_zone, occupancy) else {
+        let occupancy = estimated_occupancy(
+            reported,
+            sent_since_report,
+            shared.daemons().min(MAX_SHARING_DAEMONS),
+        );
+        let Some(mut view) = target_view(&status, service, expected_run_time, in_zone, occupancy)
+        else {
             continue;
         };
-        // What was placed there since the report will want the link too.
-        let unseen = occupancy - f64::from(reported);
-        view.link_ms += unseen * transfer_kib * view.link_ms_per_kib;
-        seen.push(SeenTarget {
+        // Calls sent since the target's last report will use its link as well.
+        let unreported = occupancy - f64::from(reported);
+        view.link_ms += unreported * transfer_kib * view.link_ms_per_kib;
+        candidates.push(CandidateTarget {
             host: peer.address.id.clone(),
-            candidate: Candidate::Peer(peer),
+            destination: Destination::Peer(peer),
             software: status.software,
             view,
         });
     }
     let request = PlacementRequest {
         transfer_kib,
-        soft_deadline_ms: millis(head.aim_us),
-        deadline_ms: millis(head.left_us),
+        soft_deadline_ms: micros_to_millis(head.aim_us),
+        deadline_ms: micros_to_millis(head.left_us),
         zone_has_target: false,
         is_above_lowest_priority: head.priority < shared.current_index().lowest_priority(),
     };
-    let crossing = settings.crossing_cost();
-    let among = |seen: Vec<SeenTarget>| choose_among(seen, tried, request, &crossing);
-    let Some(version_preference) = shared.rollouts.version_preference(service, &head.id) else {
-        return among(of_most_common(seen));
+    let cross_zone_cost = settings.crossing_cost();
+    let choose = |candidates: Vec<CandidateTarget>| {
+        choose_candidate(candidates, tried_hosts, request, &cross_zone_cost)
     };
-    let (new, old): (Vec<_>, Vec<_>) = seen
+    let Some(preference) = shared.rollouts.version_preference(service, &head.id) else {
+        return choose(with_most_common_version(candidates));
+    };
+    let (new, old): (Vec<_>, Vec<_>) = candidates
         .into_iter()
-        .partition(|target| target.software == version_preference.to);
-    match version_preference.version_preference {
-        VersionPreference::NewOnly => among(new),
-        VersionPreference::OldOnly => among(old),
-        // A call that was tried before has had its turn at the new version.
-        VersionPreference::PreferNew if !tried.is_empty() => among(old),
-        VersionPreference::PreferNew => among(new).or_else(|| among(old)),
+        .partition(|target| target.software == preference.to);
+    match preference.version_preference {
+        VersionPreference::NewOnly => choose(new),
+        VersionPreference::OldOnly => choose(old),
+        // A retry goes to the old version: the first attempt has already preferred
+        // the new one.
+        VersionPreference::PreferNew if !tried_hosts.is_empty() => choose(old),
+        VersionPreference::PreferNew => choose(new).or_else(|| choose(old)),
     }
 }
 
-/// A target of the call's service.
-struct SeenTarget {
-    candidate: Candidate,
+/// A target that can run the call.
+struct CandidateTarget {
+    destination: Destination,
     host: String,
     software: String,
     view: TargetView,
 }
 
-/// The best of `seen` that is not among `tried`.
-fn choose_among(
-    mut seen: Vec<SeenTarget>,
-    tried: &[String],
+/// Chooses the best of `candidates` whose host is not among `tried_hosts`.
+fn choose_candidate(
+    mut candidates: Vec<CandidateTarget>,
+    tried_hosts: &[String],
     mut request: PlacementRequest,
-    crossing: &CrossZoneCost,
+    cross_zone_cost: &CrossZoneCost,
 ) -> Option<PickedTarget> {
-    let is_home = |target: &SeenTarget| target.view.in_zone && !target.view.is_leaving;
-    request.zone_has_target = seen.iter().any(is_home);
-    seen.retain(|target| !tried.contains(&target.host));
-    let views: Vec<TargetView> = seen.iter().map(|target| target.view).collect();
-    let index = choose_target(&views, &request, crossing, &mut rand::rng())?;
-    let target = seen.swap_remove(index);
+    let is_staying_in_zone =
+        |target: &CandidateTarget| target.view.in_zone && !target.view.is_leaving;
+    request.zone_has_target = candidates.iter().any(is_staying_in_zone);
+    candidates.retain(|target| !tried_hosts.contains(&target.host));
+    let views: Vec<TargetView> = candidates.iter().map(|target| target.view).collect();
+    let index = choose_target(&views, &request, cross_zone_cost, &mut rand::rng())?;
+    let target = candidates.swap_remove(index);
     Some(PickedTarget {
-        candidate: target.candidate,
+        destination: target.destination,
         host: target.host,
         software: target.software,
         view: target.view,
-        candidates: views.len(),
+        candidate_count: views.len(),
     })
 }
 
-/// The targets of the version that most of `seen` run.
+/// Keeps the targets of the software version that most of `candidates` run.
 ///
-/// Guards against calls to a new version by a daemon that has not heard of its
-/// roll-out yet: the old one's targets live beside it, and are no fewer.
-fn of_most_common(mut seen: Vec<SeenTarget>) -> Vec<SeenTarget> {
-    let is_alike = seen
+/// This keeps a daemon that does not know of a roll-out yet from sending calls to
+/// the new version: the old version's targets still run, and there are at least as
+/// many of them.
+fn with_most_common_version(mut candidates: Vec<CandidateTarget>) -> Vec<CandidateTarget> {
+    let have_same_version = candidates
         .windows(2)
         .all(|pair| pair[0].software == pair[1].software);
-    if is_alike {
-        return seen;
+    if have_same_version {
+        return candidates;
     }
     let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
-    for target in &seen {
+    for target in &candidates {
         *counts.entry(&target.software).or_default() += 1;
     }
-    // Of two that are as common the first by name: versions count up.
-    let common = counts
+    // On a tie the version that sorts first is kept: it is the older one, as version
+    // names ascend.
+    let most_common = counts
         .iter()
         .min_by_key(|(software, count)| (Reverse(**count), **software))
         .map(|(software, _)| (*software).to_owned());
-    seen.retain(|target| Some(&target.software) == common.as_ref());
-    seen
+    candidates.retain(|target| Some(&target.software) == most_common.as_ref());
+    candidates
 }
 
-/// Bytes in KiB; more than `u32` holds costs the most anyway.
-fn kib(bytes: u64) -> f64 {
+/// Converts bytes to KiB. Values beyond `u32::MAX` bytes are capped; their cost is
+/// prohibitive anyway.
+fn bytes_to_kib(bytes: u64) -> f64 {
     f64::from(u32::try_from(bytes).unwrap_or(u32::MAX)) / 1024.0
 }
 
-/// Microseconds in milliseconds. Calls wait for seconds, so `u32` holds them.
-fn millis(micros: u64) -> f64 {
+/// Converts microseconds to milliseconds. Calls wait for seconds, which a `u32`
+/// holds; larger values are capped.
+fn micros_to_millis(micros: u64) -> f64 {
     f64::from(u32::try_from(micros).unwrap_or(u32::MAX)) / 1_000.0
 }
 
-fn view_of(
+fn target_view(
     status: &TargetStatus,
     service: &str,
-    usual: Option<RunTime>,
+    expected_run_time: Option<RunTime>,
     in_zone: bool,
     occupancy: f64,
 ) -> Option<TargetView> {
@@ -190,13 +206,16 @@
         return None;
     }
     let load = &status.load;
-    let run = usual.map_or_else(|| load.mean_run(), |usual| usual.slowed_by(load.slowdown));
+    let run_time = expected_run_time.map_or_else(
+        || load.mean_run(),
+        |expected_run_time| expected_run_time.slowed_by(load.slowdown),
+    );
     Some(TargetView {
         in_zone,
         slots: load.slots,
         occupancy,
-        run_ms: run.mean.as_secs_f64() * 1_000.0,
-        mean_deviation_ms: run.mean_deviation.as_secs_f64() * 1_000.0,
+        run_ms: run_time.mean.as_secs_f64() * 1_000.0,
+        mean_deviation_ms: run_time.mean_deviation.as_secs_f64() * 1_000.0,
         queue_run_ms: load.run_ms,
         failure_rate: load.failure_rate,
         is_cold: status.is_cold,
@@ -206,8 +225,8 @@
     })
 }
 
-/// The view of the target beside this daemon: no link lies between.
-fn beside(view: TargetView) -> TargetView {
+/// Removes the link's cost from the view of the target on this host.
+fn without_link(view: TargetView) -> TargetView {
     TargetView {
         link_ms: 0.0,
         link_ms_per_kib: 0.0,
--- a/crates/mesh/src/calls/place.rs
+++ b/crates/mesh/src/calls/place.rs
@@ -1,4 +1,4 @@
-//! Places a call: tries targets until one answers or nothing is left to try.
+//! Dispatches a call: tries targets until one answers or no attempt is left.
 
 mod ending;
 
@@ -12,74 +12,81 @@
 use filbert_policy::routing::RouteRule;
 use filbert_policy::run_times::RunTime;
 
-use super::attempt::{first_end, start, AttemptOutcome, RunningAttempt};
-use super::message::{aim_of, into_message, BodyCopies};
-use super::pick::{pick, Candidate, PickedTarget};
-use super::story::CallStory;
-use super::{ClientAnswer, ClientCall, FIRST_FAILURE};
+use super::attempt::{first_outcome, start_attempt, AttemptOutcome, RunningAttempt};
+use super::message::{estimate_soft_deadline, into_call_parts, ReplayBody};
+use super::pick::{pick_target, Destination, PickedTarget};
+use super::story::AccessLogEntry;
+use super::{ClientAnswer, ClientCall, MIN_SERVER_ERROR};
 use crate::body::AnswerBody;
 use crate::messages::{micros, AnswerHead, CallHead};
 use crate::quarantine::ProbePermit;
 use crate::state::MeshShared;
-use ending::end_label;
+use ending::attempt_end_label;
 
-/// Gates asked before a call is refused. Each costs a round trip and no work;
-/// when the best few have no room, the others have none either.
-const MOST_DECLINES: u32 = 4;
-/// Time that must be left for another attempt: a target that gets a call with
-/// less can only run out of it. Shorter than the quickest usual runs.
-const LEAST_LEFT: Duration = Duration::from_millis(20);
-/// When to come back for a service without any open target.
-const NO_TARGET: Duration = Duration::from_millis(300);
+/// Number of targets that may decline a call before it is refused. Each costs a
+/// round trip but no run. If the best few targets have no capacity, the others
+/// have none either.
+const MAX_DECLINES: u32 = 4;
+/// Minimum time left before the deadline for another attempt. A target that gets a
+/// call with less time cannot complete it: the fastest usual runs take longer than
+/// this.
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(20);
+/// Time after which a client should retry if the service has no open target.
+const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Time for the first link to a target of a service that was not called of
-/// late: a connection and a description of the target, with the retries of a
-/// lost packet. A call that finds none by then is refused as without one.
-const FIRST_LINK_WITHIN: Duration = Duration::from_millis(600);
+/// Maximum time to wait for the first link to a target of a service that was not
+/// called recently. It covers the connection and the target's first status, with
+/// the retransmissions after a lost packet. Without a link by then, the call is
+/// refused as if the service had no target.
+const FIRST_LINK_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// What has happened to a call so far; read when its time is up.
+/// Progress of a call, read when its deadline passes.
 #[derive(Default)]
 pub(super) struct CallProgress {
-    /// A target may have run it.
+    /// Whether a target may have run the call.
     pub(super) may_have_run: Cell<bool>,
-    /// An attempt is under way.
+    /// Whether an attempt is in progress.
     pub(super) in_attempt: Cell<bool>,
 }
 
-/// A call on its way to an answer.
-pub(super) struct Placing<'a> {
+/// A call that is dispatched to targets until one of them answers.
+pub(super) struct CallDispatch<'a> {
     shared: &'a Rc<MeshShared>,
     route: &'a RouteRule,
     progress: &'a CallProgress,
-    story: &'a mut CallStory,
+    log_entry: &'a mut AccessLogEntry,
     head: CallHead,
-    bodies: BodyCopies,
-    limit: Instant,
+    replay_body: ReplayBody,
+    deadline: Instant,
     soft_deadline: Instant,
-    tried: Vec<String>,
-    arrivals: u32,
+    tried_hosts: Vec<String>,
+    /// Number of attempts that may have reached a target.
+    delivered_attempts: u32,
     declines: u32,
-    room: Option<Duration>,
-    failure: Option<(AnswerHead, AnswerBody)>,
+    /// Shortest time until a target that declined the call expects capacity.
+    min_room_in: Option<Duration>,
+    /// Latest failure answer of a target, returned if no retry is answered.
+    failed_answer: Option<(AnswerHead, AnswerBody)>,
     last_end: Option<AttemptEnd>,
-    /// Set while this call is the one try of a suspect.
+    /// Permit of this call if it is the only probe of a suspect call identity.
     probe: Option<ProbePermit>,
-    /// For how long the call is held back, once it is.
-    held_for: Option<Duration>,
-    /// Whether the next attempt was paid for from the budget already.
-    is_paid: Cell<bool>,
+    /// Remaining time for which the quarantine holds the call back, if it does.
+    remaining_hold: Option<Duration>,
+    /// Whether the retry budget was already charged for the next attempt.
+    is_retry_paid: Cell<bool>,
 }
 
-impl<'a> Placing<'a> {
-    /// Deals the call to a service of its route and prepares its message.
+impl<'a> CallDispatch<'a> {
+    /// Chooses a service of the route for the call and prepares the call's head and
+    /// body.
     pub(super) fn new(
         shared: &'a Rc<MeshShared>,
         route: &'a RouteRule,
         call: ClientCall,
-        limit: Instant,
+        deadline: Instant,
         progress: &'a CallProgress,
-        story: &'a mut CallStory,
-    ) -> Placing<'a> {
+        log_entry: &'a mut AccessLogEntry,
+    ) -> CallDispatch<'a> {
         let service = shared
             .dealer
             .borrow_mut()
@@ -87,77 +94,88 @@
             .to_owned();
         let now = shared.clock.now();
         shared.budget.borrow_mut().record_call(&service, now);
-        let soft_deadline = aim_of(shared, route, &call);
-        story.service.clone_from(&service);
-        story.aim_ms = soft_deadline
+        let soft_deadline = estimate_soft_deadline(shared, route, &call);
+        log_entry.service.clone_from(&service);
+        log_entry.soft_deadline_ms = soft_deadline
             .saturating_duration_since(call.received)
             .as_millis();
-        let (head, body) = into_message(shared, route, &service, call);
-        Placing {
+        let (head, body) = into_call_parts(shared, route, &service, call);
+        CallDispatch {
             shared,
             route,
             progress,
-            story,
+            log_entry,
             head,
-            bodies: BodyCopies::new(body),
-            limit,
+            replay_body: ReplayBody::new(body),
+            deadline,
             soft_deadline,
-            tried: Vec::new(),
-            arrivals: 0,
+            tried_hosts: Vec::new(),
+            delivered_attempts: 0,
             declines: 0,
-            room: None,
-            failure: None,
+            min_room_in: None,
+            failed_answer: None,
             last_end: None,
             probe: None,
-            held_for: None,
-            is_paid: Cell::new(false),
+            remaining_hold: None,
+            is_retry_paid: Cell::new(false),
         }
     }
 
-    /// Tries targets until one answers or nothing is left to try.
+    /// Tries targets until one answers or no attempt is left.
     pub(super) async fn run(mut self) -> ClientAnswer {
-        // Attempts over links that fell silent. They go on beside the others:
-        // a target that is merely slow may still answer first, and a call is
-        // not ended while one is at work on it.
-        let mut silent = Vec::new();
-        if !self.may_go() {
-            return self.finish(silent).await;
+        // Attempts over links that became unresponsive. They continue next to later
+        // attempts: a target that is merely slow may still answer first, and the
+        // call does not end while a target may be running it.
+        let mut stalled_attempts = Vec::new();
+        if !self.passes_quarantine() {
+            return self.finish(stalled_attempts).await;
         }
-        self.await_links().await;
+        self.wait_for_first_link().await;
         loop {
             let now = self.shared.clock.now();
-            let ends_by = self.shared.stop.ends_by().unwrap_or(self.limit);
-            let limit = self.limit.min(ends_by);
-            self.head.left_us = micros(limit.saturating_duration_since(now));
+            let ends_by = self.shared.stop.ends_by().unwrap_or(self.deadline);
+            let deadline = self.deadline.min(ends_by);
+            self.head.left_us = micros(deadline.saturating_duration_since(now));
             self.head.aim_us = micros(self.soft_deadline.saturating_duration_since(now));
-            if !self.may_go() {
-                return self.finish(silent).await;
+            if !self.passes_quarantine() {
+                return self.finish(stalled_attempts).await;
             }
-            let Some(target) = pick(self.shared, self.route, &self.head, &self.tried) else {
-                return self.finish(silent).await;
+            let Some(target) = pick_target(self.shared, self.route, &self.head, &self.tried_hosts)
+            else {
+                return self.finish(stalled_attempts).await;
             };
-            // Noted before the attempt: the line at the end names the host
-            // also when the call's time ends first.
-            self.story.host.clone_from(&target.host);
-            self.story.software.clone_from(&target.software);
-            self.story.attempts += 1;
+            // Set before the attempt, so that the access log line names the host even
+            // if the deadline passes during the attempt.
+            self.log_entry.host.clone_from(&target.host);
+            self.log_entry.software.clone_from(&target.software);
+            self.log_entry.attempts += 1;
             self.progress.in_attempt.set(true);
-            let body = self.bodies.next();
-            let mut running = start(self.shared, &target, &self.head, body);
-            let ended = self.await_end(&target, &mut running, &mut silent).await;
+            let body = self.replay_body.next();
+            let mut current = start_attempt(self.shared, &target, &self.head, body);
+            let ended = self
+                .wait_for_outcome(&target, &mut current, &mut stalled_attempts)
+                .await;
             let outcome = ended.unwrap_or_else(|| {
-                silent.push(running);
+                stalled_attempts.push(current);
                 AttemptOutcome::Lost
             });
             self.progress.in_attempt.set(false);
-            let end = self.count(&target, &outcome);
-            let step = self.decide(end);
-            self.tell(&target, end, step);
+            let end = self.record_outcome(&target, &outcome);
+            let step = self.decide_next_step(end);
+            self.log_attempt(&target, end, step);
             match (step, outcome) {
-                (NextStep::PassOn, AttemptOutcome::Answer { head, body, ran }) => {
-                    if head.status < FIRST_FAILURE {
-                        let length = head.body_length.unwrap_or(0);
-                        self.shared.note_answer(&self.route.name, length, ran);
+                (
+                    NextStep::PassOn,
+                    AttemptOutcome::Answer {
+                        head,
+                        body,
+                        time_to_head,
+                    },
+                ) => {
+                    if head.status < MIN_SERVER_ERROR {
+                        let body_length = head.body_length.unwrap_or(0);
+                        self.shared
+                            .note_answer(&self.route.name, body_length, time_to_head);
                         if matches!(body, AnswerBody::Whole(_)) {
                             self.shared.quarantine.ran_well(self.head.identity);
                         }
@@ -165,19 +183,20 @@
                     return ClientAnswer::Target(head, body);
                 }
                 (NextStep::SendAgain, AttemptOutcome::Answer { head, body, .. }) => {
-                    self.failure = Some((head, body));
+                    self.failed_answer = Some((head, body));
                 }
                 (NextStep::SendAgain, _) => {}
-                _ => return self.finish(silent).await,
+                _ => return self.finish(stalled_attempts).await,
             }
         }
     }
 
-    /// Whether the call is not held back now. Looked at before each attempt: it
-    /// may have been since the one before.
-    fn may_go(&mut self) -> bool {
+    /// Returns whether the quarantine lets the call run now. Starts the probe of a
+    /// suspect call if that is allowed. Checked before each attempt, since a hold may
+    /// have started during the previous one.
+    fn passes_quarantine(&mut self) -> bool {
         let quarantine = &self.shared.quarantine;
-        let usual = self.head.usual_run.map(RunTime::from);
+        let expected_run_time = self.head.usual_run.map(RunTime::from);
         match quarantine.quarantine_state(self.head.identity) {
             QuarantineState::Unrestricted => return true,
             QuarantineState::ProbeInFlight if self.probe.is_some() => return true,
@@ -186,9 +205,13 @@
                 return true;
             }
             QuarantineState::ProbeInFlight => {
-                self.held_for = Some(usual.map_or(NO_TARGET, |usual| usual.mean));
+                self.remaining_hold = Some(
+                    expected_run_time.map_or(NO_TARGET_RETRY_AFTER, |expected_run_time| {
+                        expected_run_time.mean
+                    }),
+                );
             }
-            QuarantineState::Held(left) => self.held_for = Some(left),
+            QuarantineState::Held(remaining_hold) => self.remaining_hold = Some(remaining_hold),
         }
         false
     }
@@ -197,17 +220,17 @@
         self.shared.quarantine.is_suspect(self.head.identity)
     }
 
-    /// Waits for a first target when the service was not linked to until now.
-    async fn await_links(&self) {
+    /// Waits for the first target of a service that this daemon has no links to yet.
+    async fn wait_for_first_link(&self) {
         let service = self.head.service.as_str();
         let now = self.shared.clock.now();
         if !self.shared.members.note_call(service, now) {
             return;
         }
-        let until = self.limit.min(now + FIRST_LINK_WITHIN);
+        let until = self.deadline.min(now + FIRST_LINK_TIMEOUT);
         loop {
             let described = self.shared.peers.described.notified();
-            if pick(self.shared, self.route, &self.head, &[]).is_some() {
+            if pick_target(self.shared, self.route, &self.head, &[]).is_some() {
                 return;
             }
             tokio::select! {
@@ -217,26 +240,27 @@
         }
     }
 
-    /// Waits for the end of an attempt, or of an earlier one that went on;
-    /// `None` when its link fell silent and another target is to be tried.
-    async fn await_end(
+    /// Waits until the current attempt ends or a stalled one gets an answer. Returns
+    /// `None` if the current attempt's link became unresponsive and another target
+    /// is to be tried.
+    async fn wait_for_outcome(
         &mut self,
         target: &PickedTarget,
-        running: &mut RunningAttempt,
-        silent: &mut Vec<RunningAttempt>,
+        current: &mut RunningAttempt,
+        stalled_attempts: &mut Vec<RunningAttempt>,
     ) -> Option<AttemptOutcome> {
         loop {
             tokio::select! {
                 biased;
-                outcome = running.end() => return Some(outcome),
-                (host, earlier) = first_end(silent) => {
-                    if matches!(earlier, AttemptOutcome::Answer { .. }) {
-                        self.story.host = host;
-                        return Some(earlier);
+                outcome = current.outcome() => return Some(outcome),
+                (host, stalled_outcome) = first_outcome(stalled_attempts) => {
+                    if matches!(stalled_outcome, AttemptOutcome::Answer { .. }) {
+                        self.log_entry.host = host;
+                        return Some(stalled_outcome);
                     }
                 }
-                () = fall_silent(&target.candidate) => {
-                    if self.may_leave(&target.host) {
+                () = wait_until_unresponsive(&target.destination) => {
+                    if self.try_reserve_retry(&target.host) {
                         return None;
                     }
                 }
@@ -244,35 +268,38 @@
         }
     }
 
-    /// Waits for attempts that went on over silent links, and gives up when
-    /// none of them answers.
-    async fn finish(self, mut silent: Vec<RunningAttempt>) -> ClientAnswer {
-        self.progress.in_attempt.set(!silent.is_empty());
-        while !silent.is_empty() {
-            let (host, outcome) = first_end(&mut silent).await;
+    /// Waits for the stalled attempts, and returns the final answer if none of them
+    /// is answered.
+    async fn finish(self, mut stalled_attempts: Vec<RunningAttempt>) -> ClientAnswer {
+        self.progress.in_attempt.set(!stalled_attempts.is_empty());
+        while !stalled_attempts.is_empty() {
+            let (host, outcome) = first_outcome(&mut stalled_attempts).await;
             if let AttemptOutcome::Answer { head, body, .. } = outcome {
-                self.story.host = host;
+                self.log_entry.host = host;
                 return ClientAnswer::Target(head, body);
             }
         }
-        self.give_up()
+        self.final_answer()
     }
 
-    /// Counts how an attempt ended.
-    fn count(&mut self, target: &PickedTarget, outcome: &AttemptOutcome) -> AttemptEnd {
-        self.tried.push(target.host.clone());
+    /// Records how an attempt ended.
+    fn record_outcome(&mut self, target: &PickedTarget, outcome: &AttemptOutcome) -> AttemptEnd {
+        self.tried_hosts.push(target.host.clone());
         let end = match outcome {
-            AttemptOutcome::Answer { head, .. } if head.status >= FIRST_FAILURE => {
+            AttemptOutcome::Answer { head, .. } if head.status >= MIN_SERVER_ERROR => {
                 AttemptEnd::AnsweredFailure
             }
             AttemptOutcome::Answer { .. } => AttemptEnd::Answered,
             AttemptOutcome::Declined { room_in } => {
                 self.declines += 1;
-                self.room = Some(self.room.map_or(*room_in, |least| least.min(*room_in)));
+                self.min_room_in = Some(
+                    self.min_room_in
+                        .map_or(*room_in, |shortest| shortest.min(*room_in)),
+                );
                 AttemptEnd::Declined
             }
-            AttemptOutcome::HeldBack { left } => {
-                self.held_for = Some(*left);
+            AttemptOutcome::HeldBack { remaining_hold } => {
+                self.remaining_hold = Some(*remaining_hold);
                 AttemptEnd::HeldBack
             }
             AttemptOutcome::Rejected => AttemptEnd::Rejected,
@@ -283,49 +310,52 @@
         };
         self.last_end = Some(end);
         if !matches!(end, AttemptEnd::Declined | AttemptEnd::HeldBack) {
-            self.arrivals += 1;
+            self.delivered_attempts += 1;
         }
-        self.story.declines = self.declines;
+        self.log_entry.declines = self.declines;
         self.shared
             .metrics
-            .attempt(&self.head.service, end_label(end));
+            .attempt(&self.head.service, attempt_end_label(end));
         end
     }
 
-    fn decide(&self, end: AttemptEnd) -> NextStep {
-        next_step(end, self.allowance(self.arrivals), |cause| {
-            self.is_paid.take() || self.try_spend(cause)
-        })
+    fn decide_next_step(&self, end: AttemptEnd) -> NextStep {
+        next_step(
+            end,
+            self.retry_allowance(self.delivered_attempts),
+            |cause| self.is_retry_paid.take() || self.try_spend(cause),
+        )
     }
 
-    fn allowance(&self, arrivals: u32) -> RetryAllowance {
+    fn retry_allowance(&self, delivered_attempts: u32) -> RetryAllowance {
         let now = self.shared.clock.now();
-        let left = self.limit.saturating_duration_since(now);
+        let time_left = self.deadline.saturating_duration_since(now);
         RetryAllowance {
-            // A call under which targets ended twice in a row is not sent on to
-            // a third by itself.
+            // A call during which two targets in a row crashed is not sent to a third
+            // one automatically.
             repeatable: self.route.kind.is_repeatable() && !self.is_suspect(),
             may_have_run: self.progress.may_have_run.get(),
-            has_other_target: self.declines < MOST_DECLINES
-                && self.bodies.is_copyable()
-                && left > LEAST_LEFT,
-            attempts_left: self.route.max_attempts.saturating_sub(arrivals),
+            has_other_target: self.declines < MAX_DECLINES
+                && self.replay_body.is_replayable()
+                && time_left > MIN_ATTEMPT_TIME,
+            attempts_left: self.route.max_attempts.saturating_sub(delivered_attempts),
         }
     }
 
-    /// Whether the call, which is at `host`, may be sent to another target
-    /// without waiting for what becomes of it there. If so the other attempt
-    /// is paid for.
-    fn may_leave(&self, host: &str) -> bool {
-        let mut tried = self.tried.clone();
-        tried.push(host.to_owned());
-        let allowance = self.allowance(self.arrivals + 1);
-        let step = next_step(AttemptEnd::Lost, allowance, |cause| {
-            pick(self.shared, self.route, &self.head, &tried).is_some() && self.try_spend(cause)
+    /// Returns whether the call may be sent to another target while the outcome of
+    /// the attempt at `host` is still unknown. If so, the retry budget is charged for
+    /// the other attempt.
+    fn try_reserve_retry(&self, host: &str) -> bool {
+        let mut tried_hosts = self.tried_hosts.clone();
+        tried_hosts.push(host.to_owned());
+        let retry_allowance = self.retry_allowance(self.delivered_attempts + 1);
+        let step = next_step(AttemptEnd::Lost, retry_allowance, |cause| {
+            pick_target(self.shared, self.route, &self.head, &tried_hosts).is_some()
+                && self.try_spend(cause)
         });
-        let leaves = step == NextStep::SendAgain;
-        self.is_paid.set(leaves);
-        leaves
+        let is_reserved = step == NextStep::SendAgain;
+        self.is_retry_paid.set(is_reserved);
+        is_reserved
     }
 
     fn try_spend(&self, cause: RetryCause) -> bool {
@@ -336,10 +366,11 @@
     }
 }
 
-/// Waits until the link to a target falls silent; for ever beside it.
-async fn fall_silent(candidate: &Candidate) {
-    match candidate {
-        Candidate::Here => std::future::pending().await,
-        Candidate::Peer(peer) => peer.fell_silent.notified().await,
+/// Waits until the link to a target becomes unresponsive. Never completes for the
+/// target on this host.
+async fn wait_until_unresponsive(destination: &Destination) {
+    match destination {
+        Destination::Local => std::future::pending().await,
+        Destination::Peer(peer) => peer.fell_silent.notified().await,
     }
 }
--- a/crates/mesh/src/calls/place/ending.rs
+++ b/crates/mesh/src/calls/place/ending.rs
@@ -1,4 +1,4 @@
-//! What is told of attempts, and to a caller whose call is not tried again.
+//! Log lines on attempts, and the answer to a call that is not retried.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 use filbert_policy::run_times::RunTime;
 use rand::Rng;
 
-use super::{Placing, NO_TARGET};
+use super::{CallDispatch, NO_TARGET_RETRY_AFTER};
 use crate::calls::pick::PickedTarget;
-use crate::calls::{refuse, ClientAnswer, BAD_GATEWAY};
+use crate::calls::{service_unavailable, ClientAnswer, BAD_GATEWAY};
 use crate::logging::LineWeight;
 
-/// Shortest time to come back after for a call that is held back.
-const SHORTEST_HOLD: Duration = Duration::from_millis(40);
+/// Minimum time after which a client should retry a call that is held back.
+const MIN_HOLD_RETRY_AFTER: Duration = Duration::from_millis(40);
 
-impl Placing<'_> {
-    /// Writes the line on an attempt that gave no good answer.
-    pub(super) fn tell(&self, target: &PickedTarget, end: AttemptEnd, step: NextStep) {
+impl CallDispatch<'_> {
+    /// Logs an attempt that did not end with a successful answer.
+    pub(super) fn log_attempt(&self, target: &PickedTarget, end: AttemptEnd, step: NextStep) {
         let now = self.shared.clock.now();
         if end == AttemptEnd::Answered || !self.shared.lines.takes(LineWeight::Notable, now) {
             return;
@@ -29,7 +29,7 @@
             self.head.identity,
             self.route.name,
             target.host,
-            self.arrivals,
+            self.delivered_attempts,
             self.declines,
             view.occupancy,
             view.slots,
@@ -37,50 +37,57 @@
             view.failure_rate,
             view.in_zone,
             view.link_ms,
-            target.candidates
+            target.candidate_count
         );
     }
 
-    /// The answer when no further attempt is made: what a target said of its
-    /// own failure, or what is known.
-    pub(super) fn give_up(self) -> ClientAnswer {
-        if let Some((head, body)) = self.failure {
+    /// The answer if no further attempt is made: a target's own failure answer if
+    /// there is one, otherwise a local reply that states whether the call may have
+    /// run.
+    pub(super) fn final_answer(self) -> ClientAnswer {
+        if let Some((head, body)) = self.failed_answer {
             return ClientAnswer::Target(head, body);
         }
         if self.progress.may_have_run.get() {
-            self.story.reason = "answer_lost";
-            return ClientAnswer::own(BAD_GATEWAY);
+            self.log_entry.reason = "answer_lost";
+            return ClientAnswer::local(BAD_GATEWAY);
         }
-        if let Some(left) = self.held_for {
-            self.story.reason = "held_back";
+        if let Some(remaining_hold) = self.remaining_hold {
+            self.log_entry.reason = "held_back";
             self.shared.metrics.quarantined("refused");
-            // The whole time, also where the caller will not wait so long: an
-            // earlier try would be refused too.
-            return refuse(left.max(SHORTEST_HOLD));
+            // Not capped to the time that the caller has left: an earlier retry would be
+            // refused as well.
+            return service_unavailable(remaining_hold.max(MIN_HOLD_RETRY_AFTER));
         }
-        self.story.reason = match (self.last_end, self.room) {
+        self.log_entry.reason = match (self.last_end, self.min_room_in) {
             (Some(AttemptEnd::Rejected), _) => "target_rejected",
             (_, Some(_)) => "no_room",
             (_, None) => "no_target",
         };
         let now = self.shared.clock.now();
-        let left = self.limit.saturating_duration_since(now);
-        let spread = rand::rng().random::<f64>();
-        let come_back = if self.last_end == Some(AttemptEnd::Rejected) {
-            let run = self
+        let time_left = self.deadline.saturating_duration_since(now);
+        let jitter = rand::rng().random::<f64>();
+        let delay = if self.last_end == Some(AttemptEnd::Rejected) {
+            let run_time = self
                 .head
                 .usual_run
-                .map_or(NO_TARGET, |usual| RunTime::from(usual).mean);
-            retry_after_shedding(run, left, spread)
+                .map_or(NO_TARGET_RETRY_AFTER, |expected_run_time| {
+                    RunTime::from(expected_run_time).mean
+                });
+            retry_after_shedding(run_time, time_left, jitter)
         } else {
-            retry_after(self.room.unwrap_or(NO_TARGET), left, spread)
+            retry_after(
+                self.min_room_in.unwrap_or(NO_TARGET_RETRY_AFTER),
+                time_left,
+                jitter,
+            )
         };
-        refuse(come_back)
+        service_unavailable(delay)
     }
 }
 
-/// The ending as metrics name it.
-pub(super) fn end_label(end: AttemptEnd) -> &'static str {
+/// Metric label of an attempt's end.
+pub(super) fn attempt_end_label(end: AttemptEnd) -> &'static str {
     match end {
         AttemptEnd::Answered => "answered",
         AttemptEnd::AnsweredFailure => "answered_failure",
--- a/crates/mesh/src/calls/story.rs
+++ b/crates/mesh/src/calls/story.rs
@@ -1,18 +1,18 @@
-//! The one line that says how a call ended.
+//! Access log: one line for each call that ends.
 
 use std::time::Instant;
 
 use filbert_policy::identity::CallIdentity;
 
 use super::{
-    ClientAnswer, ClientCall, FIRST_FAILURE, NOT_ALLOWED, NOT_FOUND, TIMED_OUT, TOO_MANY,
-    UNAVAILABLE,
+    ClientAnswer, ClientCall, GATEWAY_TIMEOUT, MIN_SERVER_ERROR, NOT_FOUND, SERVICE_UNAVAILABLE,
+    TOO_MANY_REQUESTS, UNAUTHORIZED,
 };
 use crate::logging::LineWeight;
 use crate::state::MeshShared;
 
-/// What is known of a call when it ends.
-pub(super) struct CallStory {
+/// The access log line of a call, filled in while the call is handled.
+pub(super) struct AccessLogEntry {
     id: String,
     identity: CallIdentity,
     received: Instant,
@@ -24,13 +24,13 @@
     pub(super) software: String,
     pub(super) attempts: u32,
     pub(super) declines: u32,
-    pub(super) aim_ms: u128,
+    pub(super) soft_deadline_ms: u128,
     pub(super) reason: &'static str,
 }
 
-impl CallStory {
-    pub(super) fn new(call: &ClientCall, version: u64) -> CallStory {
-        CallStory {
+impl AccessLogEntry {
+    pub(super) fn new(call: &ClientCall, version: u64) -> AccessLogEntry {
+        AccessLogEntry {
             id: call.headers.id.clone(),
             identity: call.identity,
             received: call.received,
@@ -42,33 +42,38 @@
             software: String::new(),
             attempts: 0,
             declines: 0,
-            aim_ms: 0,
+            soft_deadline_ms: 0,
             reason: "-",
         }
     }
 
-    pub(super) fn tell(&self, shared: &MeshShared, answer: &ClientAnswer) {
+    /// Counts the call in the metrics and writes its line, unless the limit on log
+    /// lines is reached. A late, failed or retried call is logged as notable.
+    pub(super) fn write(&self, shared: &MeshShared, answer: &ClientAnswer) {
         let now = shared.clock.now();
-        let took = now.saturating_duration_since(self.received);
-        let (outcome, status, come_back) = match answer {
-            ClientAnswer::Target(head, _) if head.status >= FIRST_FAILURE => {
+        let elapsed = now.saturating_duration_since(self.received);
+        let (outcome, status, retry_after) = match answer {
+            ClientAnswer::Target(head, _) if head.status >= MIN_SERVER_ERROR => {
                 ("target_failed", head.status, None)
             }
             ClientAnswer::Target(head, _) => ("answered", head.status, None),
-            ClientAnswer::Own { status, come_back } => {
+            ClientAnswer::Local {
+                status,
+                retry_after,
+            } => {
                 let outcome = match *status {
                     NOT_FOUND => "no_route",
-                    NOT_ALLOWED => "unknown_key",
-                    TOO_MANY => "over_quota",
-                    UNAVAILABLE => "refused",
-                    TIMED_OUT => "timed_out",
+                    UNAUTHORIZED => "unknown_key",
+                    TOO_MANY_REQUESTS => "over_quota",
+                    SERVICE_UNAVAILABLE => "refused",
+                    GATEWAY_TIMEOUT => "timed_out",
                     _ => "unknown",
                 };
-                (outcome, *status, *come_back)
+                (outcome, *status, *retry_after)
             }
         };
-        shared.metrics.call(&self.service, outcome, took);
-        let is_late = self.aim_ms > 0 && took.as_millis() > self.aim_ms;
+        shared.metrics.call(&self.service, outcome, elapsed);
+        let is_late = self.soft_deadline_ms > 0 && elapsed.as_millis() > self.soft_deadline_ms;
         let weight = if outcome == "answered" && !is_late && self.attempts <= 1 {
             LineWeight::Ordinary
         } else {
@@ -90,9 +95,9 @@
             self.declines,
             self.software,
             self.organisation,
-            took.as_millis(),
-            self.aim_ms,
-            come_back.map_or(0, |after| after.as_millis())
+            elapsed.as_millis(),
+            self.soft_deadline_ms,
+            retry_after.map_or(0, |retry_after| retry_after.as_millis())
         );
     }
 }
--- a/crates/mesh/src/ingress/bodies.rs
+++ b/crates/mesh/src/ingress/bodies.rs
@@ -1,5 +1,5 @@
-//! Reading the bodies of clients' calls: short ones whole, long ones as they
-//! come.
+//! Reads the bodies of clients' calls: short bodies completely, long ones as a
+//! stream.
 
 use bytes::Bytes;
 use filbert_http1::{BodyDecoder, BodyFraming, MessageReader, ReadError, RequestHead};
@@ -11,58 +11,60 @@
 use super::{ReadEnd, BAD_REQUEST};
 use crate::body::{BodySource, CallBody};
 
-/// Longest body that is read whole before its call is placed, in bytes. Such
-/// a call can be sent again.
-const WHOLE_BODY: u64 = 64 * 1024;
-/// Pieces of a longer body read ahead.
-const PIECES_AHEAD: usize = 4;
+/// Maximum length in bytes of a body that is read completely before its call is
+/// dispatched. A call with such a body can be sent again.
+const MAX_REPLAYABLE_BODY_BYTES: u64 = 64 * 1024;
+/// Number of buffers of a longer body that are read ahead of the call's attempt.
+const BODY_CHANNEL_CAPACITY: usize = 4;
 
-async fn read_whole(
+async fn read_complete(
     reader: &mut MessageReader<OwnedReadHalf>,
     decoder: &mut BodyDecoder,
 ) -> Result<Bytes, ReadEnd> {
-    let mut whole = Vec::new();
+    let mut body = Vec::new();
     loop {
         match reader.read_body_data(decoder).await {
-            Ok(Some(piece)) => whole.extend_from_slice(&piece),
-            Ok(None) => return Ok(Bytes::from(whole)),
+            Ok(Some(data)) => body.extend_from_slice(&data),
+            Ok(None) => return Ok(Bytes::from(body)),
             Err(ReadError::Body(filbert_http1::BodyError::BadChunk)) => {
-                return Err(ReadEnd::Last(Some(BAD_REQUEST)))
+                return Err(ReadEnd::Final(Some(BAD_REQUEST)))
             }
-            Err(_) => return Err(ReadEnd::Gone),
+            Err(_) => return Err(ReadEnd::Disconnected),
         }
     }
 }
 
-/// The start of a long body, and the way for the rest of it.
-pub(super) type BodyRest = (Bytes, mpsc::Sender<Bytes>);
+/// Prefix of a streamed body that was read but not sent yet, and the sender for the
+/// prefix and all later data.
+pub(super) type UnsentBody = (Bytes, mpsc::Sender<Bytes>);
 
-/// Reads a body as far as it is read before its call is placed: whole, unless it
-/// is long. Of a long one, the way for the rest comes with it.
+/// Reads the part of a body that is read before its call is dispatched. A long body
+/// is returned as streamed, with its unsent prefix; [`forward_body`] then has to send
+/// the prefix and the rest.
 pub(super) async fn read_body(
     reader: &mut MessageReader<OwnedReadHalf>,
     decoder: &mut BodyDecoder,
     framing: BodyFraming,
-) -> Result<(CallBody, Option<BodyRest>), ReadEnd> {
+) -> Result<(CallBody, Option<UnsentBody>), ReadEnd> {
     match framing {
         BodyFraming::Empty | BodyFraming::UntilClose => Ok((CallBody::Whole(Bytes::new()), None)),
-        BodyFraming::Length(length) if length <= WHOLE_BODY => {
-            let whole = read_whole(reader, decoder).await?;
-            Ok((CallBody::Whole(whole), None))
+        BodyFraming::Length(length) if length <= MAX_REPLAYABLE_BODY_BYTES => {
+            let body = read_complete(reader, decoder).await?;
+            Ok((CallBody::Whole(body), None))
         }
-        BodyFraming::Length(_) | BodyFraming::Chunked => read_start(reader, decoder).await,
+        BodyFraming::Length(_) | BodyFraming::Chunked => read_prefix(reader, decoder).await,
     }
 }
 
-pub(super) fn identity_of(
+pub(super) fn call_identity(
     head: &RequestHead,
     host: &str,
     body: &CallBody,
-    rest: Option<&BodyRest>,
+    unsent: Option<&UnsentBody>,
 ) -> CallIdentity {
-    let (body_prefix, body_length) = match (body, rest) {
-        (CallBody::Whole(whole), _) => (&whole[..], Some(whole.len() as u64)),
-        (CallBody::Streamed(_), Some((start, _))) => (&start[..], head.framing.length()),
+    let (body_prefix, body_length) = match (body, unsent) {
+        (CallBody::Whole(body), _) => (&body[..], Some(body.len() as u64)),
+        (CallBody::Streamed(_), Some((prefix, _))) => (&prefix[..], head.framing.length()),
         (CallBody::Streamed(_), None) => (&[][..], head.framing.length()),
     };
     CallIdentity::of(&IdentityParts {
@@ -75,60 +77,63 @@
     })
 }
 
-/// Reads the start of a body that may be long. One that ends within the limit
-/// is taken whole; of another, the start and the way for the rest are returned.
-async fn read_start(
+/// Reads up to [`MAX_REPLAYABLE_BODY_BYTES`] of a body. A body that ends before that
+/// is returned complete, a longer one as [`read_body`] describes.
+async fn read_prefix(
     reader: &mut MessageReader<OwnedReadHalf>,
     decoder: &mut BodyDecoder,
-) -> Result<(CallBody, Option<BodyRest>), ReadEnd> {
-    let mut start = Vec::new();
-    while (start.len() as u64) < WHOLE_BODY {
+) -> Result<(CallBody, Option<UnsentBody>), ReadEnd> {
+    let mut prefix = Vec::new();
+    while (prefix.len() as u64) < MAX_REPLAYABLE_BODY_BYTES {
         match reader.read_body_data(decoder).await {
-            Ok(Some(piece)) => start.extend_from_slice(&piece),
-            Ok(None) => return Ok((CallBody::Whole(Bytes::from(start)), None)),
+            Ok(Some(data)) => prefix.extend_from_slice(&data),
+            Ok(None) => return Ok((CallBody::Whole(Bytes::from(prefix)), None)),
             Err(ReadError::Body(filbert_http1::BodyError::BadChunk)) => {
-                return Err(ReadEnd::Last(Some(BAD_REQUEST)))
+                return Err(ReadEnd::Final(Some(BAD_REQUEST)))
             }
-            Err(_) => return Err(ReadEnd::Gone),
+            Err(_) => return Err(ReadEnd::Disconnected),
         }
     }
-    let (sender, receiver) = mpsc::channel(PIECES_AHEAD);
-    let pieces = CallBody::Streamed(BodySource::Client(receiver));
-    Ok((pieces, Some((Bytes::from(start), sender))))
+    let (sender, receiver) = mpsc::channel(BODY_CHANNEL_CAPACITY);
+    let body = CallBody::Streamed(BodySource::Client(receiver));
+    Ok((body, Some((Bytes::from(prefix), sender))))
 }
 
-/// Hands the rest of a body on. An empty piece marks its end; a channel that
-/// closes without one marks a body that was broken off.
-pub(super) async fn pump_body(
+/// Sends the prefix and the rest of a body to the call's attempt. Empty data marks
+/// the end of the body; a channel that closes without it marks a truncated body.
+///
+/// # Errors
+/// [`ReadEnd::Disconnected`] if the body cannot be read or exceeds `max_bytes`.
+pub(super) async fn forward_body(
     reader: &mut MessageReader<OwnedReadHalf>,
     decoder: &mut BodyDecoder,
-    start: Bytes,
-    pieces: &mpsc::Sender<Bytes>,
-    most: u64,
+    prefix: Bytes,
+    sender: &mpsc::Sender<Bytes>,
+    max_bytes: u64,
 ) -> Result<(), ReadEnd> {
-    let mut total = start.len() as u64;
-    // A call that was answered early takes no more of its body; the rest is
-    // read and dropped so that the next call is found.
-    let mut is_wanted = pieces.send(start).await.is_ok();
+    let mut total_bytes = prefix.len() as u64;
+    // A call that is answered early reads no more of its body. The rest is read and
+    // discarded, so that the next call on the connection can be read.
+    let mut is_receiver_open = sender.send(prefix).await.is_ok();
     loop {
         match reader.read_body_data(decoder).await {
-            Ok(Some(piece)) => {
-                total += piece.len() as u64;
-                if total > most {
-                    return Err(ReadEnd::Gone);
+            Ok(Some(data)) => {
+                total_bytes += data.len() as u64;
+                if total_bytes > max_bytes {
+                    return Err(ReadEnd::Disconnected);
                 }
-                if is_wanted {
-                    is_wanted = pieces.send(piece).await.is_ok();
+                if is_receiver_open {
+                    is_receiver_open = sender.send(data).await.is_ok();
                 }
             }
             Ok(None) => {
-                if is_wanted {
-                    // Nobody left to hear the end is no failure here.
-                    let _ = pieces.send(Bytes::new()).await;
+                if is_receiver_open {
+                    // It is no failure if the receiver is already closed.
+                    let _ = sender.send(Bytes::new()).await;
                 }
                 return Ok(());
             }
-            Err(_) => return Err(ReadEnd::Gone),
+            Err(_) => return Err(ReadEnd::Disconnected),
         }
     }
 }
--- a/crates/mesh/src/ingress/mod.rs
+++ b/crates/mesh/src/ingress/mod.rs
@@ -1,5 +1,5 @@
-//! Clients' connections: reads calls, several at once where a client sends
-//! them so, and writes the answers in the order of the calls.
+//! Serves clients' connections: reads calls, runs pipelined calls concurrently and
+//! writes the answers in the order of the calls.
 
 mod bodies;
 
@@ -25,20 +25,22 @@
 use crate::state::MeshShared;
 use crate::stop::CallMark;
 use crate::target::chunk;
-use bodies::{identity_of, pump_body, read_body};
+use bodies::{call_identity, forward_body, read_body};
 
-/// Calls of one connection in work at once; more stay unread.
-const MOST_AT_ONCE: usize = 16;
-/// How long a connection is read on after its last answer, so that the
-/// client gets that answer and no reset.
-const LINGER: Duration = Duration::from_millis(500);
+/// Maximum number of calls of one connection that are handled at the same time.
+/// Further calls are not read until an answer has been written.
+const MAX_PIPELINED_CALLS: usize = 16;
+/// Maximum time for which a connection is still read after its last answer. Closing
+/// it with unread input would send a reset, which may discard that answer at the
+/// client.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 
 const BAD_REQUEST: u16 = 400;
 const REQUEST_TIMEOUT: u16 = 408;
-const BODY_TOO_LONG: u16 = 413;
-const HEAD_TOO_LONG: u16 = 431;
+const CONTENT_TOO_LARGE: u16 = 413;
+const HEADER_FIELDS_TOO_LARGE: u16 = 431;
 
-/// Takes clients' connections until the process ends.
+/// Accepts and serves clients' connections until the process ends.
 pub async fn serve(shared: Rc<MeshShared>, listener: TcpListener) {
     accept_for_ever("calls", listener, |stream| {
         serve_connection(Rc::clone(&shared), stream)
@@ -46,73 +48,74 @@
     .await;
 }
 
-/// A call whose answer is due.
-struct DueAnswer {
+/// A call whose answer has not been written yet.
+struct PendingAnswer {
     task: JoinHandle<ClientAnswer>,
     id: String,
     is_http11: bool,
-    closes: bool,
+    closes_connection: bool,
     _mark: CallMark,
 }
 
-impl Drop for DueAnswer {
-    /// Guards against work for a client that has left.
+impl Drop for PendingAnswer {
+    /// Cancels the call if its client has disconnected.
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// What the two halves of a connection share.
+/// State shared by the reader and the writer of a connection.
 struct ConnectionState {
-    due: RefCell<VecDeque<DueAnswer>>,
-    /// Wakes the writer when a call was added.
-    added: Notify,
-    /// Wakes the reader when an answer was written.
-    written: Notify,
-    last_use: std::cell::Cell<Instant>,
-    /// No further call will be read.
-    is_last: std::cell::Cell<bool>,
+    pending: RefCell<VecDeque<PendingAnswer>>,
+    /// Wakes the writer when a call has been added.
+    call_added: Notify,
+    /// Wakes the reader when an answer has been written.
+    answer_written: Notify,
+    last_active: std::cell::Cell<Instant>,
+    /// Whether no further call will be read.
+    is_input_closed: std::cell::Cell<bool>,
 }
 
 async fn serve_connection(shared: Rc<MeshShared>, stream: TcpStream) {
     sockets::watch_silence(&stream);
     let (read, write) = stream.into_split();
     let state = ConnectionState {
-        due: RefCell::new(VecDeque::new()),
-        added: Notify::new(),
-        written: Notify::new(),
-        last_use: std::cell::Cell::new(shared.clock.now()),
-        is_last: std::cell::Cell::new(false),
+        pending: RefCell::new(VecDeque::new()),
+        call_added: Notify::new(),
+        answer_written: Notify::new(),
+        last_active: std::cell::Cell::new(shared.clock.now()),
+        is_input_closed: std::cell::Cell::new(false),
     };
     let mut reader = MessageReader::new(read);
     let mut writer = write;
-    let is_closed_by_us = tokio::select! {
+    let is_closed_locally = tokio::select! {
         () = read_calls(&shared, &state, &mut reader) => false,
-        ended = write_answers(&shared, &state, &mut writer) => ended.is_ok(),
+        result = write_answers(&shared, &state, &mut writer) => result.is_ok(),
     };
-    // Whatever is still in work is for a client that has left.
-    state.due.borrow_mut().clear();
-    if is_closed_by_us && writer.shutdown().await.is_ok() {
-        let rest = async {
+    // The client of all calls that are still running has disconnected.
+    state.pending.borrow_mut().clear();
+    if is_closed_locally && writer.shutdown().await.is_ok() {
+        let discard_input = async {
             while let Ok(true) = reader.fill().await {
                 reader.discard_buffered();
             }
         };
-        // Past the limit the client gets a reset at worst; its answer is out.
-        let _ = tokio::time::timeout(LINGER, rest).await;
+        // After the timeout the client gets a reset at worst. Its answer has been
+        // sent by then.
+        let _ = tokio::time::timeout(LINGER_TIMEOUT, discard_input).await;
     }
 }
 
 /// Why no further call is read.
 enum ReadEnd {
-    /// The client has left.
-    Gone,
-    /// The connection ends behind the answers that are due, after one more
-    /// of our own if there is a status.
-    Last(Option<u16>),
+    /// The client disconnected, or its input cannot be read any further.
+    Disconnected,
+    /// The connection is closed after the pending answers and, if there is a status,
+    /// after a local reply with this status.
+    Final(Option<u16>),
 }
 
-/// Reads calls; returns when the client has left.
+/// Reads calls until the client disconnects.
 async fn read_calls(
     shared: &Rc<MeshShared>,
     state: &ConnectionState,
@@ -121,73 +124,79 @@
     let end = loop {
         match read_call(shared, state, reader).await {
             Ok(true) => {}
-            Ok(false) => break ReadEnd::Last(None),
+            Ok(false) => break ReadEnd::Final(None),
             Err(end) => break end,
         }
     };
-    let ReadEnd::Last(status) = end else {
+    let ReadEnd::Final(status) = end else {
         return;
     };
     if let Some(status) = status {
-        let answer = async move { ClientAnswer::own(status) };
-        push_due(shared, state, answer, String::new(), true, true);
+        let answer = async move { ClientAnswer::local(status) };
+        push_pending(shared, state, answer, String::new(), true, true);
     }
-    state.is_last.set(true);
-    state.added.notify_one();
-    // Only to notice that the client leaves.
+    state.is_input_closed.set(true);
+    state.call_added.notify_one();
+    // Further input is discarded; reading detects that the client disconnects.
     while let Ok(true) = reader.fill().await {
         reader.discard_buffered();
     }
 }
 
-fn push_due(
+fn push_pending(
     shared: &Rc<MeshShared>,
     state: &ConnectionState,
     answer: impl std::future::Future<Output = ClientAnswer> + 'static,
     id: String,
     is_http11: bool,
-    closes: bool,
+    closes_connection: bool,
 ) {
-    state.due.borrow_mut().push_back(DueAnswer {
+    state.pending.borrow_mut().push_back(PendingAnswer {
         task: tokio::task::spawn_local(answer),
         id,
         is_http11,
-        closes,
+        closes_connection,
         _mark: CallMark::new(shared),
     });
-    state.added.notify_one();
+    state.call_added.notify_one();
 }
 
-/// Reads one call; false when it was the last.
+/// Reads one call and starts to handle it. Returns whether further calls may follow
+/// on the connection.
+///
+/// # Errors
+/// The reason why no further call is read.
 async fn read_call(
     shared: &Rc<MeshShared>,
     state: &ConnectionState,
     reader: &mut MessageReader<OwnedReadHalf>,
 ) -> Result<bool, ReadEnd> {
-    while state.due.borrow().len() >= MOST_AT_ONCE {
-        state.written.notified().await;
+    while state.pending.borrow().len() >= MAX_PIPELINED_CALLS {
+        state.answer_written.notified().await;
     }
-    await_first_byte(shared, state, reader).await?;
+    wait_for_first_byte(shared, state, reader).await?;
     let limits = *shared.current_index().limits();
     let raw = match tokio::time::timeout(limits.head_timeout, reader.read_head(limits.head_bytes))
         .await
     {
         Ok(Ok(Some(raw))) => raw,
-        Ok(Err(ReadError::HeadTooLong)) => return Err(ReadEnd::Last(Some(HEAD_TOO_LONG))),
-        Ok(Ok(None) | Err(_)) => return Err(ReadEnd::Gone),
-        Err(_) => return Err(ReadEnd::Last(Some(REQUEST_TIMEOUT))),
+        Ok(Err(ReadError::HeadTooLong)) => {
+            return Err(ReadEnd::Final(Some(HEADER_FIELDS_TOO_LARGE)))
+        }
+        Ok(Ok(None) | Err(_)) => return Err(ReadEnd::Disconnected),
+        Err(_) => return Err(ReadEnd::Final(Some(REQUEST_TIMEOUT))),
     };
     let received = shared.clock.now();
-    state.last_use.set(received);
+    state.last_active.set(received);
     let head = match RequestHead::parse(&raw) {
         Ok(head) => head,
         Err(HeadError::Malformed | HeadError::AmbiguousLength) => {
-            return Err(ReadEnd::Last(Some(BAD_REQUEST)))
+            return Err(ReadEnd::Final(Some(BAD_REQUEST)))
         }
     };
     let length = head.framing.length();
     if length.is_some_and(|length| length > limits.body_bytes) {
-        return Err(ReadEnd::Last(Some(BODY_TOO_LONG)));
+        return Err(ReadEnd::Final(Some(CONTENT_TOO_LARGE)));
     }
     let call_headers = headers::read_call(&head);
     let keep_alive = head.keep_alive;
@@ -195,85 +204,97 @@
     let framing = head.framing;
     let id = call_headers.id.clone();
     let mut decoder = BodyDecoder::new(framing);
-    let (body, rest) = read_body(reader, &mut decoder, framing).await?;
-    let identity = identity_of(&head, &call_headers.host, &body, rest.as_ref());
+    let (body, unsent) = read_body(reader, &mut decoder, framing).await?;
+    let identity = call_identity(&head, &call_headers.host, &body, unsent.as_ref());
     let call = ClientCall {
         head,
         headers: call_headers,
         identity,
         body,
         received,
-        holder: None,
+        organisation: None,
     };
     let shared_call = Rc::clone(shared);
-    let answer = async move { calls::answer(&shared_call, call).await };
-    push_due(shared, state, answer, id, is_http11, !keep_alive);
-    if let Some((start, pieces)) = rest {
-        pump_body(reader, &mut decoder, start, &pieces, limits.body_bytes).await?;
+    let answer = async move { calls::handle_call(&shared_call, call).await };
+    push_pending(shared, state, answer, id, is_http11, !keep_alive);
+    if let Some((prefix, body_sender)) = unsent {
+        forward_body(
+            reader,
+            &mut decoder,
+            prefix,
+            &body_sender,
+            limits.body_bytes,
+        )
+        .await?;
     }
     Ok(keep_alive)
 }
 
-/// Waits for a call to begin, as long as a connection may be idle.
-async fn await_first_byte(
+/// Waits for the first byte of a call.
+///
+/// # Errors
+/// [`ReadEnd`] if the connection was idle for too long, the daemon is stopping, or
+/// the client disconnected.
+async fn wait_for_first_byte(
     shared: &MeshShared,
     state: &ConnectionState,
     reader: &mut MessageReader<OwnedReadHalf>,
 ) -> Result<(), ReadEnd> {
     while !reader.has_buffered_bytes() {
-        let is_busy = !state.due.borrow().is_empty();
+        let is_busy = !state.pending.borrow().is_empty();
         if shared.stop.is_closing() && !is_busy {
-            return Err(ReadEnd::Last(None));
+            return Err(ReadEnd::Final(None));
         }
-        let idle = shared.current_index().limits().idle_timeout;
-        let until = state.last_use.get() + idle;
-        if !is_busy && shared.clock.now() >= until {
-            return Err(ReadEnd::Last(None));
+        let idle_timeout = shared.current_index().limits().idle_timeout;
+        let idle_until = state.last_active.get() + idle_timeout;
+        if !is_busy && shared.clock.now() >= idle_until {
+            return Err(ReadEnd::Final(None));
         }
         tokio::select! {
             filled = reader.fill() => match filled {
                 Ok(true) => {}
-                Ok(false) | Err(_) => return Err(ReadEnd::Gone),
+                Ok(false) | Err(_) => return Err(ReadEnd::Disconnected),
             },
-            () = tokio::time::sleep_until(until.into()), if !is_busy => {}
-            () = state.written.notified() => {}
+            () = tokio::time::sleep_until(idle_until.into()), if !is_busy => {}
+            () = state.answer_written.notified() => {}
             () = shared.stop.changed.notified() => {}
         }
     }
     Ok(())
 }
 
-/// Writes answers in the order of their calls; ends after the last.
+/// Writes answers in the order of their calls. Returns after the last one.
 async fn write_answers(
     shared: &Rc<MeshShared>,
     state: &ConnectionState,
     writer: &mut OwnedWriteHalf,
 ) -> std::io::Result<()> {
     loop {
-        let front = state.due.borrow_mut().pop_front();
-        let Some(mut due) = front else {
-            if state.is_last.get() {
+        let next_pending = state.pending.borrow_mut().pop_front();
+        let Some(mut pending) = next_pending else {
+            if state.is_input_closed.get() {
                 return Ok(());
             }
-            state.added.notified().await;
+            state.call_added.notified().await;
             continue;
         };
-        let answer = match (&mut due.task).await {
+        let answer = match (&mut pending.task).await {
             Ok(answer) => answer,
             Err(error) => {
                 log::error!(
                     "event=call_task_failed request={} error=\"{error}\"",
-                    due.id
+                    pending.id
                 );
-                ClientAnswer::own(502)
+                ClientAnswer::local(502)
             }
         };
-        let is_behind = state.due.borrow().is_empty();
-        let closes = due.closes || (shared.stop.is_closing() && is_behind);
-        write_answer(&shared.egress, writer, &due, answer, closes).await?;
-        state.last_use.set(shared.clock.now());
-        state.written.notify_one();
-        if closes {
+        let is_last_pending = state.pending.borrow().is_empty();
+        let closes_connection =
+            pending.closes_connection || (shared.stop.is_closing() && is_last_pending);
+        write_answer(&shared.egress, writer, &pending, answer, closes_connection).await?;
+        state.last_active.set(shared.clock.now());
+        state.answer_written.notify_one();
+        if closes_connection {
             return Ok(());
         }
     }
@@ -282,29 +303,36 @@
 async fn write_answer(
     egress: &EgressPacer,
     writer: &mut OwnedWriteHalf,
-    due: &DueAnswer,
+    pending: &PendingAnswer,
     answer: ClientAnswer,
-    closes: bool,
+    closes_connection: bool,
 ) -> std::io::Result<()> {
-    let connection = if closes { "Connection: close\r\n" } else { "" };
+    let connection = if closes_connection {
+        "Connection: close\r\n"
+    } else {
+        ""
+    };
     match answer {
-        ClientAnswer::Own { status, come_back } => {
+        ClientAnswer::Local {
+            status,
+            retry_after,
+        } => {
             let text = format!(
                 "HTTP/1.1 {status} {}\r\n{}Content-Length: 0\r\n{connection}\r\n",
                 reason_phrase(status),
-                headers::local_reply_header_lines(&due.id, come_back)
+                headers::local_reply_header_lines(&pending.id, retry_after)
             );
             writer.write_all(text.as_bytes()).await
         }
         ClientAnswer::Target(head, body) => {
-            write_target_answer(egress, writer, &head, body, connection, due.is_http11).await
+            write_target_answer(egress, writer, &head, body, connection, pending.is_http11).await
         }
     }
 }
 
-/// Time in which an answer is to leave for a client of this host, whose own
-/// deadline was looked at before.
-const CLIENTS_WAIT: Duration = Duration::from_secs(3);
+/// Time within which an answer to a client of this host should be sent. The call's
+/// own deadline was already checked.
+const MAX_SEND_TIME: Duration = Duration::from_secs(3);
 
 async fn write_target_answer(
     egress: &EgressPacer,
@@ -324,36 +352,36 @@
         None if is_chunked => "Transfer-Encoding: chunked\r\n".to_owned(),
         None => String::new(),
     };
-    let mut start = format!("HTTP/1.1 {} {}\r\n", head.status, head.reason).into_bytes();
-    start.extend_from_slice(&head.lines);
-    start.extend_from_slice(framing.as_bytes());
-    start.extend_from_slice(connection.as_bytes());
-    start.extend_from_slice(b"\r\n");
+    let mut first_bytes = format!("HTTP/1.1 {} {}\r\n", head.status, head.reason).into_bytes();
+    first_bytes.extend_from_slice(&head.lines);
+    first_bytes.extend_from_slice(framing.as_bytes());
+    first_bytes.extend_from_slice(connection.as_bytes());
+    first_bytes.extend_from_slice(b"\r\n");
     if let AnswerBody::Whole(whole) = &mut body {
-        start.extend_from_slice(&std::mem::take(whole));
+        first_bytes.extend_from_slice(&std::mem::take(whole));
     }
-    // Clients' answers use the host's link too: those of a host beside a
-    // target with long answers compete with what it sends to other hosts.
-    let mut left = length.unwrap_or(0);
-    let due = egress.now() + CLIENTS_WAIT;
-    egress.pace(start.len() as u64, left, due).await;
-    writer.write_all(&start).await?;
+    // Answers to clients use the host's link as well. On a host whose target sends
+    // long answers, they compete with its answers to other hosts.
+    let mut remaining = length.unwrap_or(0);
+    let due = egress.now() + MAX_SEND_TIME;
+    egress.pace(first_bytes.len() as u64, remaining, due).await;
+    writer.write_all(&first_bytes).await?;
     loop {
         match body.next().await {
-            Ok(Some(piece)) => {
-                let bytes = piece.len() as u64;
-                egress.pace(bytes, left.max(bytes), due).await;
-                left = left.saturating_sub(bytes);
+            Ok(Some(data)) => {
+                let bytes = data.len() as u64;
+                egress.pace(bytes, remaining.max(bytes), due).await;
+                remaining = remaining.saturating_sub(bytes);
                 if is_chunked {
-                    writer.write_all(&chunk(&piece)).await?;
+                    writer.write_all(&chunk(&data)).await?;
                 } else {
-                    writer.write_all(&piece).await?;
+                    writer.write_all(&data).await?;
                 }
             }
             Ok(None) if is_chunked => return writer.write_all(b"0\r\n\r\n").await,
             Ok(None) => return Ok(()),
-            // The connection is closed without the body's end, so that the
-            // client cannot take the answer for whole.
+            // The connection is closed before the end of the body, so that the client
+            // does not take the answer for complete.
             Err(_) => return Err(std::io::ErrorKind::UnexpectedEof.into()),
         }
     }
