--- a/crates/mesh/src/calls/admit.rs
+++ b/crates/mesh/src/calls/admit.rs
@@ -7,7 +7,7 @@
 use filbert_policy::routing::{RouteIndex, RouteRule};
 use rand::Rng;
 
-use super::story::AccessLogEntry;
+use super::access_log::AccessLogEntry;
 use super::{service_unavailable, ClientAnswer, ClientCall, TOO_MANY_REQUESTS, UNAUTHORIZED};
 use crate::organisations::tokens::TokenHold;
 use crate::organisations::CallHolder;
--- a/crates/mesh/src/calls/place.rs
+++ b/crates/mesh/src/calls/dispatch.rs
@@ -12,10 +12,10 @@
 use filbert_policy::routing::RouteRule;
 use filbert_policy::run_times::RunTime;
 
+use super::access_log::AccessLogEntry;
 use super::attempt::{first_outcome, start_attempt, AttemptOutcome, RunningAttempt};
 use super::message::{estimate_soft_deadline, into_call_parts, ReplayBody};
 use super::pick::{pick_target, Destination, PickedTarget};
-use super::story::AccessLogEntry;
 use super::{ClientAnswer, ClientCall, MIN_SERVER_ERROR};
 use crate::body::AnswerBody;
 use crate::messages::{micros, AnswerHead, CallHead};
--- a/crates/mesh/src/calls/mod.rs
+++ b/crates/mesh/src/calls/mod.rs
@@ -1,12 +1,12 @@
 //! The caller's side: routes a client's call, dispatches it to a target, retries
 //! it where that is allowed, and answers the client.
 
+mod access_log;
 mod admit;
 mod attempt;
+mod dispatch;
 mod message;
 mod pick;
-mod place;
-mod story;
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -21,9 +21,9 @@
 use crate::body::{AnswerBody, CallBody};
 use crate::messages::AnswerHead;
 use crate::state::MeshShared;
+use access_log::AccessLogEntry;
 use admit::admit;
-use place::{CallDispatch, CallProgress};
-use story::AccessLogEntry;
+use dispatch::{CallDispatch, CallProgress};
 
 /// Time subtracted from a client's timeout for the network between the client
 /// and this daemon: the timeout began before the call was read, and the answer
