--- a/tests/mesh_calls.rs
+++ b/tests/mesh_calls.rs
@@ -1,5 +1,5 @@
-//! The call path between stand-ins of the users' platform: what callers and
-//! targets see, and what becomes of calls at targets that misbehave.
+//! Tests of the call path between stand-ins of the users' platform: what callers
+//! and targets observe, and how calls end at targets that misbehave.
 
 #[path = "support/users.rs"]
 mod users;
@@ -22,8 +22,8 @@
     ]
 }
 
-/// A caller's host without a target of the service, and one with.
-async fn remote_pair() -> Fleet {
+/// Starts a caller's host without a target of the service, and a host with one.
+async fn caller_and_target() -> Fleet {
     fleet(
         &routes(),
         &[("caller", "a", "art"), ("quoter", "a", "quotes")],
@@ -31,8 +31,8 @@
     .await
 }
 
-/// A caller's host and two with targets of the service.
-async fn remote_three() -> Fleet {
+/// Starts a caller's host and two hosts with targets of the service.
+async fn caller_and_two_targets() -> Fleet {
     fleet(
         &routes(),
         &[
@@ -45,8 +45,8 @@
 }
 
 #[tokio::test]
-async fn a_call_reaches_the_target_unchanged_and_its_answer_the_caller() {
-    let fleet = remote_pair().await;
+async fn call_and_answer_pass_through_unchanged() {
+    let fleet = caller_and_target().await;
     let headers = [
         ("Host", "shop.example:80"),
         ("Request-Id", "call-1"),
@@ -71,31 +71,32 @@
     assert!((1_000..=1_500).contains(&runs[0].left_ms), "{runs:?}");
 }
 
-/// What one conduct of the only target makes of a call.
-struct ConductCase {
+/// The conduct of the only target, and the statuses that callers should get.
+struct TargetConductCase {
     conduct: Conduct,
-    /// Status of an idempotent call, and of one that runs at most once.
+    /// Status of an idempotent call (`read`) and of one that runs at most once
+    /// (`order`).
     read: u16,
     order: u16,
 }
 
 #[rstest]
-#[case(ConductCase { conduct: Conduct::Answers, read: 200, order: 200 })]
-#[case(ConductCase { conduct: Conduct::Rejects, read: 503, order: 503 })]
-#[case(ConductCase { conduct: Conduct::Fails, read: 500, order: 500 })]
-#[case(ConductCase { conduct: Conduct::BreaksOff, read: 502, order: 502 })]
-#[case(ConductCase { conduct: Conduct::LosesAnswers, read: 502, order: 502 })]
-#[case(ConductCase { conduct: Conduct::Hangs, read: 504, order: 504 })]
-#[case(ConductCase { conduct: Conduct::Garbles, read: 502, order: 502 })]
-#[case(ConductCase { conduct: Conduct::ForeignFirst, read: 200, order: 200 })]
-#[case(ConductCase { conduct: Conduct::AnswersTwice, read: 200, order: 200 })]
-#[case(ConductCase { conduct: Conduct::Unsigned, read: 502, order: 502 })]
-#[case(ConductCase { conduct: Conduct::Encoded, read: 502, order: 502 })]
-#[case(ConductCase { conduct: Conduct::Chunks, read: 200, order: 200 })]
-#[case(ConductCase { conduct: Conduct::UntilClose, read: 200, order: 200 })]
+#[case(TargetConductCase { conduct: Conduct::Answers, read: 200, order: 200 })]
+#[case(TargetConductCase { conduct: Conduct::Rejects, read: 503, order: 503 })]
+#[case(TargetConductCase { conduct: Conduct::Fails, read: 500, order: 500 })]
+#[case(TargetConductCase { conduct: Conduct::BreaksOff, read: 502, order: 502 })]
+#[case(TargetConductCase { conduct: Conduct::LosesAnswers, read: 502, order: 502 })]
+#[case(TargetConductCase { conduct: Conduct::Hangs, read: 504, order: 504 })]
+#[case(TargetConductCase { conduct: Conduct::Garbles, read: 502, order: 502 })]
+#[case(TargetConductCase { conduct: Conduct::ForeignFirst, read: 200, order: 200 })]
+#[case(TargetConductCase { conduct: Conduct::AnswersTwice, read: 200, order: 200 })]
+#[case(TargetConductCase { conduct: Conduct::Unsigned, read: 502, order: 502 })]
+#[case(TargetConductCase { conduct: Conduct::Encoded, read: 502, order: 502 })]
+#[case(TargetConductCase { conduct: Conduct::Chunks, read: 200, order: 200 })]
+#[case(TargetConductCase { conduct: Conduct::UntilClose, read: 200, order: 200 })]
 #[tokio::test]
-async fn a_caller_is_told_the_truth_whatever_the_target_does(#[case] case: ConductCase) {
-    let fleet = remote_pair().await;
+async fn a_caller_is_told_the_truth_whatever_the_target_does(#[case] case: TargetConductCase) {
+    let fleet = caller_and_target().await;
     let target = &fleet.hosts[1].target;
     target.set_conduct(case.conduct);
     for round in 0..3 {
@@ -116,16 +117,16 @@
             let runs = target.runs().iter().filter(|run| run.id == id).count();
             assert!(runs <= 1, "{id} ran {runs} times");
             if answer.status == 503 {
-                assert_eq!(runs, 0, "{id} ran and was said not to have");
+                assert_eq!(runs, 0, "{id} ran, but the caller was told that it did not");
                 assert!(!answer.header("Retry-After").is_empty());
             }
         }
     }
 }
 
-/// An estimator looks up a proof while one of two servers spoils its answers.
-/// The first answer is cut short or lost; the lookup may be repeated, so the
-/// other server's answer is passed on and the estimator sees nothing of it.
+/// One of two targets rejects calls, or its answers are failed, truncated, lost or
+/// invalid. An idempotent call is sent to the other target, and the caller gets the
+/// answer of that target.
 #[rstest]
 #[case(Conduct::Rejects)]
 #[case(Conduct::Fails)]
@@ -134,8 +135,8 @@
 #[case(Conduct::Garbles)]
 #[case(Conduct::Unsigned)]
 #[tokio::test]
-async fn an_idempotent_call_goes_to_another_target(#[case] conduct: Conduct) {
-    let fleet = remote_three().await;
+async fn failed_idempotent_call_is_retried_on_another_target(#[case] conduct: Conduct) {
+    let fleet = caller_and_two_targets().await;
     fleet.hosts[1].target.set_conduct(conduct);
     for round in 0..8 {
         let id = format!("read-{round}");
@@ -148,12 +149,12 @@
     }
 }
 
-/// An order's answer is lost after it ran. The caller is told that the
-/// outcome is unknown, and no other server gets the order: it would be cut
-/// and billed twice.
+/// The answer of a call that runs at most once is lost after the run. The caller
+/// gets status 502, which states that the outcome is unknown, and no other target
+/// gets the call: it would run twice.
 #[tokio::test]
 async fn an_order_with_a_lost_answer_runs_once() {
-    let fleet = remote_three().await;
+    let fleet = caller_and_two_targets().await;
     for host in &fleet.hosts[1..] {
         host.target.set_conduct(Conduct::LosesAnswers);
     }
@@ -168,13 +169,12 @@
     }
 }
 
-/// A clerk downloads a manifest and goes on over the same connection. The
-/// download came in chunks over a link; the empty frame that ends a link's
-/// stream was written as an empty chunk, so the answer ended twice and the
-/// clerk's next answer began with bytes that belong to none.
+/// Guards against an answer with two last chunks. The empty frame that ends a link's
+/// stream was written to the client as an empty chunk, so a long chunked answer
+/// ended twice, and the next answer on the connection began with stray bytes.
 #[tokio::test]
-async fn a_long_chunked_answer_leaves_nothing_behind_on_the_connection() {
-    let fleet = remote_pair().await;
+async fn chunked_answer_ends_with_a_single_last_chunk() {
+    let fleet = caller_and_target().await;
     let target = &fleet.hosts[1].target;
     target.set_conduct(Conduct::Chunks);
     target.set_body_bytes(200_000);
@@ -192,9 +192,8 @@
     }
 }
 
-/// A clerk's download has used up its route's time at one server, which says
-/// so itself. Another server could only run out of time as well: it must not
-/// get the call.
+/// A target fails a call just before the route's timeout. Another target could not
+/// complete the call in the time that is left, so the call is not sent again.
 #[tokio::test]
 async fn no_second_attempt_without_time() {
     let mut short = RouteSpec::reads("/read/", "quotes");
@@ -220,21 +219,21 @@
     }
 }
 
-/// A long answer breaks in the middle, when its head is already with the
-/// client. It must not look complete.
+/// A long answer breaks off after its head was sent to the client. The client must
+/// be able to detect that the answer is truncated.
 #[tokio::test]
-async fn a_long_answer_that_breaks_does_not_look_whole() {
-    let fleet = remote_pair().await;
+async fn truncated_long_answer_does_not_look_complete() {
+    let fleet = caller_and_target().await;
     let target = &fleet.hosts[1].target;
     target.set_conduct(Conduct::BreaksOff);
     target.set_body_bytes(300_000);
     let answer = fleet.hosts[0].call(ORDER, "order-1", b"sign").await;
-    assert!(answer.is_none(), "a cut answer looked whole");
+    assert!(answer.is_none(), "a truncated answer looked complete");
 }
 
 #[tokio::test]
-async fn pipelined_calls_run_side_by_side_and_are_answered_in_order() {
-    let fleet = remote_pair().await;
+async fn pipelined_calls_run_concurrently_and_are_answered_in_order() {
+    let fleet = caller_and_target().await;
     fleet.hosts[1]
         .target
         .set_conduct(Conduct::AnswersAfter(Duration::from_millis(400)));
@@ -257,16 +256,17 @@
     );
 }
 
-/// A shop's screen gives up on a lookup while the server's host stands still
-/// for a moment. As the host goes on, its daemon reads the lookup and the word
-/// that its caller has left at once, and must not begin it: the server would
-/// work for nobody, half a second after the caller left and longer.
+/// A caller disconnects while the target's host is paused. When the host resumes,
+/// its daemon reads the call and its cancellation together, and must not start the
+/// call: the target would run it although nobody waits for the answer, half a second
+/// or more after the caller disconnected.
 #[tokio::test]
-async fn a_call_whose_caller_left_meanwhile_is_not_begun() {
+async fn call_cancelled_during_a_host_pause_is_not_started() {
     const ROUNDS: usize = 16;
-    let fleet = remote_pair().await;
+    let fleet = caller_and_target().await;
     for round in 0..ROUNDS {
-        // Leaves a connection to the server that the next could be sent on.
+        // Leaves an open connection to the target, on which the next call could be
+        // sent.
         let before = fleet.hosts[0].call(READ, "before", b"").await;
         assert_eq!(before.expect("an answer").status, 200);
         fleet.hosts[1].signal(Signal::SIGSTOP);
@@ -282,18 +282,22 @@
         fleet.hosts[1].signal(Signal::SIGCONT);
         tokio::time::sleep(Duration::from_millis(60)).await;
     }
-    let begun = fleet.hosts[1].target.runs().len() - ROUNDS;
-    assert_eq!(begun, 0, "of {ROUNDS} lookups that nobody waited for");
+    let started_runs = fleet.hosts[1].target.runs().len() - ROUNDS;
+    assert_eq!(
+        started_runs, 0,
+        "of {ROUNDS} calls whose caller had disconnected"
+    );
 }
 
-/// A caller leaves before its answer. Work for nobody takes a slot from
-/// others, so the target's connection must close soon, on either host.
+/// A caller disconnects before it gets its answer. The run would keep a slot from
+/// other calls, so the connection to the target must be closed soon, whether the
+/// caller is on the target's host or on another one.
 #[rstest]
 #[case(0)]
 #[case(1)]
 #[tokio::test]
 async fn a_caller_that_leaves_ends_the_run(#[case] host: usize) {
-    let fleet = remote_pair().await;
+    let fleet = caller_and_target().await;
     let target = &fleet.hosts[1].target;
     target.set_conduct(Conduct::Hangs);
     let mut client = fleet.connect(host).await;
@@ -316,12 +320,12 @@
     );
 }
 
-/// More calls than a target has slots. The target never runs more than its
-/// slots at once; what has no room in time is refused at once, with a time to
-/// come back, and has not run.
+/// More calls arrive than a target has slots. The target never runs more calls at
+/// once than it has slots. Calls that cannot be served in time are refused early,
+/// with a `Retry-After` header, and do not run.
 #[tokio::test]
-async fn calls_beyond_the_slots_wait_here_or_are_refused_at_once() {
-    let fleet = remote_pair().await;
+async fn excess_calls_are_queued_or_refused_without_running() {
+    let fleet = caller_and_target().await;
     let target = &fleet.hosts[1].target;
     target.set_conduct(Conduct::AnswersAfter(Duration::from_millis(150)));
     let calls = fleet.hosts[0].calls;
@@ -338,11 +342,14 @@
     }
     let mut refused = Vec::new();
     for task in tasks {
-        let (id, answer, took) = task.await.expect("a client");
+        let (id, answer, elapsed) = task.await.expect("a client");
         if answer.status == 503 {
             let after: f64 = answer.header("Retry-After").parse().expect("seconds");
             assert!(after > 0.0 && after < 1.0, "{after}");
-            assert!(took < Duration::from_millis(900), "refused after {took:?}");
+            assert!(
+                elapsed < Duration::from_millis(900),
+                "refused after {elapsed:?}"
+            );
             refused.push(id);
         } else {
             assert_eq!(answer.status, 200);
@@ -365,7 +372,7 @@
 }
 
 #[tokio::test]
-async fn what_no_route_names_is_not_found_and_the_longest_prefix_wins() {
+async fn unrouted_path_is_not_found_and_longest_prefix_wins() {
     let longer = RouteSpec::reads("/read/a/", "art");
     let mut all = routes();
     all.push(longer);
@@ -394,7 +401,7 @@
 }
 
 #[tokio::test]
-async fn a_split_route_keeps_its_weights() {
+async fn split_route_follows_its_weights() {
     let mut split = RouteSpec::reads("/split/", "quotes");
     split.parts = vec![("quotes".to_owned(), 80), ("art".to_owned(), 20)];
     let fleet = fleet(
@@ -410,41 +417,42 @@
             .expect("an answer");
         assert_eq!(answer.status, 200);
     }
-    // Dealt in turn, from a place of its own at each start: one call more or
-    // less, never the several that draws would miss by.
+    // Weighted round robin starts at a random position: the share may be off by one
+    // call. A random choice per call would be off by several.
     let art = fleet.hosts[0].target.runs().len();
     assert!((19..=21).contains(&art), "{art} of 100 for a share of 20");
     assert_eq!(fleet.hosts[1].target.runs().len(), 100 - art);
 }
 
-/// A request that a proxy and a server could read in two ways.
-struct SmuggleCase {
+/// An invalid request, or one that a proxy and a server could parse differently
+/// (request smuggling), and the status that it gets.
+struct AmbiguousRequestCase {
     bytes: &'static [u8],
     status: u16,
 }
 
 #[rstest]
-#[case(SmuggleCase {
+#[case(AmbiguousRequestCase {
     bytes: b"POST /order/a HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
     status: 400,
 })]
-#[case(SmuggleCase {
+#[case(AmbiguousRequestCase {
     bytes: b"POST /order/a HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\nabcde",
     status: 400,
 })]
-#[case(SmuggleCase {
+#[case(AmbiguousRequestCase {
     bytes: b"POST /order/a HTTP/1.1\r\nHost: shop.example\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
     status: 400,
 })]
-#[case(SmuggleCase {
+#[case(AmbiguousRequestCase {
     bytes: b"POST /order/a HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 2000000\r\n\r\n",
     status: 413,
 })]
-#[case(SmuggleCase { bytes: b"no request at all\r\n\r\n", status: 400 })]
-#[case(SmuggleCase { bytes: b"GET /read/a HTTP/1.1\r\nHost: shop", status: 408 })]
+#[case(AmbiguousRequestCase { bytes: b"no request at all\r\n\r\n", status: 400 })]
+#[case(AmbiguousRequestCase { bytes: b"GET /read/a HTTP/1.1\r\nHost: shop", status: 408 })]
 #[tokio::test]
-async fn what_cannot_be_read_in_one_way_is_turned_away(#[case] case: SmuggleCase) {
-    let fleet = remote_pair().await;
+async fn ambiguous_or_invalid_request_is_rejected(#[case] case: AmbiguousRequestCase) {
+    let fleet = caller_and_target().await;
     let mut client = fleet.connect(0).await;
     client.send_raw(case.bytes).await.expect("sent");
     let answer = client.answer().await.expect("an answer");
@@ -453,26 +461,26 @@
     assert!(fleet.hosts[1].target.runs().is_empty());
 }
 
-/// A head that is too long for the limit of the configuration.
+/// A request head exceeds the limit of the configuration.
 #[tokio::test]
-async fn a_head_beyond_the_limit_is_turned_away() {
-    let fleet = remote_pair().await;
+async fn oversized_request_head_is_rejected() {
+    let fleet = caller_and_target().await;
     let filler = "x".repeat(20_000);
     let headers = [("Host", "shop.example"), ("X-Filler", filler.as_str())];
     let answer = Client::once(fleet.hosts[0].calls, READ, &headers, b"").await;
     assert_eq!(answer.expect("an answer").status, 431);
 }
 
-/// A body in chunks, longer than what is read before a call is placed.
+/// A chunked body is longer than what the daemon reads before it dispatches a call.
 #[tokio::test]
-async fn a_long_chunked_call_arrives_whole() {
-    let fleet = remote_pair().await;
+async fn long_chunked_call_body_arrives_complete() {
+    let fleet = caller_and_target().await;
     let mut client = fleet.connect(0).await;
     let head = "POST /order/a HTTP/1.1\r\nHost: shop.example\r\nRequest-Id: long\r\nTransfer-Encoding: chunked\r\n\r\n";
     client.send_raw(head.as_bytes()).await.expect("sent");
-    let piece = "y".repeat(50_000);
+    let data = "y".repeat(50_000);
     for _ in 0..4 {
-        let chunk = format!("{:x}\r\n{piece}\r\n", piece.len());
+        let chunk = format!("{:x}\r\n{data}\r\n", data.len());
         client.send_raw(chunk.as_bytes()).await.expect("sent");
     }
     client.send_raw(b"0\r\n\r\n").await.expect("sent");
@@ -482,14 +490,14 @@
     assert!(runs[0].body.iter().all(|byte| *byte == b'y'));
 }
 
-/// A target says that it drains while callers go on. From a while after the
-/// acknowledgement it must get nothing new, from any host.
+/// A target reports that it is draining, or leaves, while callers continue. Shortly
+/// after the acknowledgement it must get no new calls from any host.
 #[rstest]
 #[case(true)]
 #[case(false)]
 #[tokio::test]
 async fn a_leaving_target_gets_no_new_calls(#[case] drains: bool) {
-    let mut fleet = remote_three().await;
+    let mut fleet = caller_and_two_targets().await;
     let control = fleet.hosts[1].control;
     let status = if drains {
         fleet.hosts[1].target.drain(control).await
@@ -509,29 +517,29 @@
     assert_eq!(fleet.hosts[1].target.runs().len(), before);
 }
 
-/// A target says that it drains; its daemon acknowledges, is killed and starts
-/// again. A report that was held up on the way arrives only now and says
-/// "ready". The peers remember: nothing new may reach the target.
+/// A target reports that it is draining. Its daemon acknowledges, is killed and
+/// restarts. Then an outdated report that says "ready" arrives. The peers remember
+/// that the instance is leaving, and the target must get no new calls.
 #[tokio::test]
 async fn leaving_binds_over_a_restart_of_the_daemon() {
-    let mut fleet = remote_three().await;
+    let mut fleet = caller_and_two_targets().await;
     let control = fleet.hosts[1].control;
     assert_eq!(fleet.hosts[1].target.drain(control).await, 200);
-    // The line names the instance with its birth.
+    // The log line contains the instance key, which includes the start time.
     let key = fleet.hosts[1].target.key();
-    let heard = format!("event=target_heard peer=first instance={key} state=Leaving");
-    assert!(users::eventually_logs(&fleet.hosts[0], &heard).await);
+    let leaving_heard = format!("event=target_heard peer=first instance={key} state=Leaving");
+    assert!(users::eventually_logs(&fleet.hosts[0], &leaving_heard).await);
     fleet.hosts[1].kill();
     fleet.hosts[1].start_daemon();
     let host = &fleet.hosts[1];
     assert!(eventually(users::SETTLE_WITHIN, || host.is_ready()).await);
-    let linked = "event=link_up peer=first";
-    let relinked = eventually(users::SETTLE_WITHIN, || async {
-        fleet.hosts[0].log().matches(linked).count() == 2
-            && fleet.hosts[2].log().matches(linked).count() == 2
+    let link_up = "event=link_up peer=first";
+    let are_relinked = eventually(users::SETTLE_WITHIN, || async {
+        fleet.hosts[0].log().matches(link_up).count() == 2
+            && fleet.hosts[2].log().matches(link_up).count() == 2
     })
     .await;
-    assert!(relinked);
+    assert!(are_relinked);
     let before = fleet.hosts[1].target.runs().len();
     fleet.hosts[1].target.report_to(control);
     tokio::time::sleep(Duration::from_secs(1)).await;
@@ -545,24 +553,28 @@
     assert_eq!(fleet.hosts[1].target.runs().len(), before);
 }
 
-/// A target crashes and comes back as another instance at its address, before
-/// the daemon has heard of it. The call names the old instance, so the new one
-/// declines it, and the caller is not told a lie.
+/// A target crashes, and another instance starts at its address before the daemon
+/// learns of it. The call names the old instance, so the new one must decline it, and
+/// the caller must not get an answer of the wrong service.
 #[tokio::test]
-async fn an_address_used_again_does_not_get_the_old_instances_calls() {
-    let mut fleet = remote_pair().await;
+async fn reused_address_does_not_get_calls_for_the_old_instance() {
+    let mut fleet = caller_and_target().await;
     let address = fleet.hosts[1].target.address;
-    // A control address at which nobody listens: what starts now is not heard.
-    let nowhere = fleet.hosts[0].target.address;
-    let free = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
-    let elsewhere = TargetServer::start("art", "i-unannounced", free, nowhere).await;
-    drop(std::mem::replace(&mut fleet.hosts[1].target, elsewhere));
+    // No daemon listens at this control address, so no daemon learns of the targets
+    // that are started with it.
+    let unused_control = fleet.hosts[0].target.address;
+    let any_port = std::net::SocketAddr::from(([127, 0, 0, 1], 0));
+    let other_target = TargetServer::start("art", "i-unannounced", any_port, unused_control).await;
+    drop(std::mem::replace(&mut fleet.hosts[1].target, other_target));
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let reused = TargetServer::start("art", "i-reused", address, nowhere).await;
+    let reused = TargetServer::start("art", "i-reused", address, unused_control).await;
     let answer = fleet.hosts[0]
         .call(ORDER, "order-1", b"sign")
         .await
         .expect("an answer");
     assert_eq!(answer.status, 503);
-    assert!(reused.runs().is_empty(), "the wrong service ran it");
+    assert!(
+        reused.runs().is_empty(),
+        "the call ran at the wrong service"
+    );
 }
