--- /dev/null
+++ b/crates/mesh/src/calls/dispatch.rs
@@ -0,0 +1,376 @@
+//! Dispatches a call: tries targets until one answers or no attempt is left.
+
+mod ending;
+
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use filbert_policy::attempt::{next_step, AttemptEnd, NextStep, RetryAllowance};
+use filbert_policy::budget::RetryCause;
+use filbert_policy::quarantine::QuarantineState;
+use filbert_policy::routing::RouteRule;
+use filbert_policy::run_times::RunTime;
+
+use super::access_log::AccessLogEntry;
+use super::attempt::{first_outcome, start_attempt, AttemptOutcome, RunningAttempt};
+use super::message::{estimate_soft_deadline, into_call_parts, ReplayBody};
+use super::pick::{pick_target, Destination, PickedTarget};
+use super::{ClientAnswer, ClientCall, MIN_SERVER_ERROR};
+use crate::body::AnswerBody;
+use crate::messages::{micros, AnswerHead, CallHead};
+use crate::quarantine::ProbePermit;
+use crate::state::MeshShared;
+use ending::attempt_end_label;
+
+/// Number of targets that may decline a call before it is refused. Each costs a
+/// round trip but no run. If the best few targets have no capacity, the others
+/// have none either.
+const MAX_DECLINES: u32 = 4;
+/// Minimum time left before the deadline for another attempt. A target that gets a
+/// call with less time cannot complete it: the fastest usual runs take longer than
+/// this.
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(20);
+/// Time after which a client should retry if the service has no open target.
+const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(300);
+
+/// Maximum time to wait for the first link to a target of a service that was not
+/// called recently. It covers the connection and the target's first status, with
+/// the retransmissions after a lost packet. Without a link by then, the call is
+/// refused as if the service had no target.
+const FIRST_LINK_TIMEOUT: Duration = Duration::from_millis(600);
+
+/// Progress of a call, read when its deadline passes.
+#[derive(Default)]
+pub(super) struct CallProgress {
+    /// Whether a target may have run the call.
+    pub(super) may_have_run: Cell<bool>,
+    /// Whether an attempt is in progress.
+    pub(super) in_attempt: Cell<bool>,
+}
+
+/// A call that is dispatched to targets until one of them answers.
+pub(super) struct CallDispatch<'a> {
+    shared: &'a Rc<MeshShared>,
+    route: &'a RouteRule,
+    progress: &'a CallProgress,
+    log_entry: &'a mut AccessLogEntry,
+    head: CallHead,
+    replay_body: ReplayBody,
+    deadline: Instant,
+    soft_deadline: Instant,
+    tried_hosts: Vec<String>,
+    /// Number of attempts that may have reached a target.
+    delivered_attempts: u32,
+    declines: u32,
+    /// Shortest time until a target that declined the call expects capacity.
+    min_room_in: Option<Duration>,
+    /// Latest failure answer of a target, returned if no retry is answered.
+    failed_answer: Option<(AnswerHead, AnswerBody)>,
+    last_end: Option<AttemptEnd>,
+    /// Permit of this call if it is the only probe of a suspect call identity.
+    probe: Option<ProbePermit>,
+    /// Remaining time for which the quarantine holds the call back, if it does.
+    remaining_hold: Option<Duration>,
+    /// Whether the retry budget was already charged for the next attempt.
+    is_retry_paid: Cell<bool>,
+}
+
+impl<'a> CallDispatch<'a> {
+    /// Chooses a service of the route for the call and prepares the call's head and
+    /// body.
+    pub(super) fn new(
+        shared: &'a Rc<MeshShared>,
+        route: &'a RouteRule,
+        call: ClientCall,
+        deadline: Instant,
+        progress: &'a CallProgress,
+        log_entry: &'a mut AccessLogEntry,
+    ) -> CallDispatch<'a> {
+        let service = shared
+            .dealer
+            .borrow_mut()
+            .next_service(route, shared.seed)
+            .to_owned();
+        let now = shared.clock.now();
+        shared.budget.borrow_mut().record_call(&service, now);
+        let soft_deadline = estimate_soft_deadline(shared, route, &call);
+        log_entry.service.clone_from(&service);
+        log_entry.soft_deadline_ms = soft_deadline
+            .saturating_duration_since(call.received)
+            .as_millis();
+        let (head, body) = into_call_parts(shared, route, &service, call);
+        CallDispatch {
+            shared,
+            route,
+            progress,
+            log_entry,
+            head,
+            replay_body: ReplayBody::new(body),
+            deadline,
+            soft_deadline,
+            tried_hosts: Vec::new(),
+            delivered_attempts: 0,
+            declines: 0,
+            min_room_in: None,
+            failed_answer: None,
+            last_end: None,
+            probe: None,
+            remaining_hold: None,
+            is_retry_paid: Cell::new(false),
+        }
+    }
+
+    /// Tries targets until one answers or no attempt is left.
+    pub(super) async fn run(mut self) -> ClientAnswer {
+        // Attempts over links that became unresponsive. They continue next to later
+        // attempts: a target that is merely slow may still answer first, and the
+        // call does not end while a target may be running it.
+        let mut stalled_attempts = Vec::new();
+        if !self.passes_quarantine() {
+            return self.finish(stalled_attempts).await;
+        }
+        self.wait_for_first_link().await;
+        loop {
+            let now = self.shared.clock.now();
+            let ends_by = self.shared.stop.ends_by().unwrap_or(self.deadline);
+            let deadline = self.deadline.min(ends_by);
+            self.head.left_us = micros(deadline.saturating_duration_since(now));
+            self.head.aim_us = micros(self.soft_deadline.saturating_duration_since(now));
+            if !self.passes_quarantine() {
+                return self.finish(stalled_attempts).await;
+            }
+            let Some(target) = pick_target(self.shared, self.route, &self.head, &self.tried_hosts)
+            else {
+                return self.finish(stalled_attempts).await;
+            };
+            // Set before the attempt, so that the access log line names the host even
+            // if the deadline passes during the attempt.
+            self.log_entry.host.clone_from(&target.host);
+            self.log_entry.software.clone_from(&target.software);
+            self.log_entry.attempts += 1;
+            self.progress.in_attempt.set(true);
+            let body = self.replay_body.next();
+            let mut current = start_attempt(self.shared, &target, &self.head, body);
+            let ended = self
+                .wait_for_outcome(&target, &mut current, &mut stalled_attempts)
+                .await;
+            let outcome = ended.unwrap_or_else(|| {
+                stalled_attempts.push(current);
+                AttemptOutcome::Lost
+            });
+            self.progress.in_attempt.set(false);
+            let end = self.record_outcome(&target, &outcome);
+            let step = self.decide_next_step(end);
+            self.log_attempt(&target, end, step);
+            match (step, outcome) {
+                (
+                    NextStep::PassOn,
+                    AttemptOutcome::Answer {
+                        head,
+                        body,
+                        time_to_head,
+                    },
+                ) => {
+                    if head.status < MIN_SERVER_ERROR {
+                        let body_length = head.body_length.unwrap_or(0);
+                        self.shared
+                            .note_answer(&self.route.name, body_length, time_to_head);
+                        if matches!(body, AnswerBody::Whole(_)) {
+                            self.shared.quarantine.ran_well(self.head.identity);
+                        }
+                    }
+                    return ClientAnswer::Target(head, body);
+                }
+                (NextStep::SendAgain, AttemptOutcome::Answer { head, body, .. }) => {
+                    self.failed_answer = Some((head, body));
+                }
+                (NextStep::SendAgain, _) => {}
+                _ => return self.finish(stalled_attempts).await,
+            }
+        }
+    }
+
+    /// Returns whether the quarantine lets the call run now. Starts the probe of a
+    /// suspect call if that is allowed. Checked before each attempt, since a hold may
+    /// have started during the previous one.
+    fn passes_quarantine(&mut self) -> bool {
+        let quarantine = &self.shared.quarantine;
+        let expected_run_time = self.head.usual_run.map(RunTime::from);
+        match quarantine.quarantine_state(self.head.identity) {
+            QuarantineState::Unrestricted => return true,
+            QuarantineState::ProbeInFlight if self.probe.is_some() => return true,
+            QuarantineState::ProbeAllowed => {
+                self.probe = Some(quarantine.begin_probe(self.head.identity));
+                return true;
+            }
+            QuarantineState::ProbeInFlight => {
+                self.remaining_hold = Some(
+                    expected_run_time.map_or(NO_TARGET_RETRY_AFTER, |expected_run_time| {
+                        expected_run_time.mean
+                    }),
+                );
+            }
+            QuarantineState::Held(remaining_hold) => self.remaining_hold = Some(remaining_hold),
+        }
+        false
+    }
+
+    fn is_suspect(&self) -> bool {
+        self.shared.quarantine.is_suspect(self.head.identity)
+    }
+
+    /// Waits for the first target of a service that this daemon has no links to yet.
+    async fn wait_for_first_link(&self) {
+        let service = self.head.service.as_str();
+        let now = self.shared.clock.now();
+        if !self.shared.members.note_call(service, now) {
+            return;
+        }
+        let until = self.deadline.min(now + FIRST_LINK_TIMEOUT);
+        loop {
+            let described = self.shared.peers.described.notified();
+            if pick_target(self.shared, self.route, &self.head, &[]).is_some() {
+                return;
+            }
+            tokio::select! {
+                () = described => {}
+                () = tokio::time::sleep_until(until.into()) => return,
+            }
+        }
+    }
+
+    /// Waits until the current attempt ends or a stalled one gets an answer. Returns
+    /// `None` if the current attempt's link became unresponsive and another target
+    /// is to be tried.
+    async fn wait_for_outcome(
+        &mut self,
+        target: &PickedTarget,
+        current: &mut RunningAttempt,
+        stalled_attempts: &mut Vec<RunningAttempt>,
+    ) -> Option<AttemptOutcome> {
+        loop {
+            tokio::select! {
+                biased;
+                outcome = current.outcome() => return Some(outcome),
+                (host, stalled_outcome) = first_outcome(stalled_attempts) => {
+                    if matches!(stalled_outcome, AttemptOutcome::Answer { .. }) {
+                        self.log_entry.host = host;
+                        return Some(stalled_outcome);
+                    }
+                }
+                () = wait_until_unresponsive(&target.destination) => {
+                    if self.try_reserve_retry(&target.host) {
+                        return None;
+                    }
+                }
+            }
+        }
+    }
+
+    /// Waits for the stalled attempts, and returns the final answer if none of them
+    /// is answered.
+    async fn finish(self, mut stalled_attempts: Vec<RunningAttempt>) -> ClientAnswer {
+        self.progress.in_attempt.set(!stalled_attempts.is_empty());
+        while !stalled_attempts.is_empty() {
+            let (host, outcome) = first_outcome(&mut stalled_attempts).await;
+            if let AttemptOutcome::Answer { head, body, .. } = outcome {
+                self.log_entry.host = host;
+                return ClientAnswer::Target(head, body);
+            }
+        }
+        self.final_answer()
+    }
+
+    /// Records how an attempt ended.
+    fn record_outcome(&mut self, target: &PickedTarget, outcome: &AttemptOutcome) -> AttemptEnd {
+        self.tried_hosts.push(target.host.clone());
+        let end = match outcome {
+            AttemptOutcome::Answer { head, .. } if head.status >= MIN_SERVER_ERROR => {
+                AttemptEnd::AnsweredFailure
+            }
+            AttemptOutcome::Answer { .. } => AttemptEnd::Answered,
+            AttemptOutcome::Declined { room_in } => {
+                self.declines += 1;
+                self.min_room_in = Some(
+                    self.min_room_in
+                        .map_or(*room_in, |shortest| shortest.min(*room_in)),
+                );
+                AttemptEnd::Declined
+            }
+            AttemptOutcome::HeldBack { remaining_hold } => {
+                self.remaining_hold = Some(*remaining_hold);
+                AttemptEnd::HeldBack
+            }
+            AttemptOutcome::Rejected => AttemptEnd::Rejected,
+            AttemptOutcome::Lost => {
+                self.progress.may_have_run.set(true);
+                AttemptEnd::Lost
+            }
+        };
+        self.last_end = Some(end);
+        if !matches!(end, AttemptEnd::Declined | AttemptEnd::HeldBack) {
+            self.delivered_attempts += 1;
+        }
+        self.log_entry.declines = self.declines;
+        self.shared
+            .metrics
+            .attempt(&self.head.service, attempt_end_label(end));
+        end
+    }
+
+    fn decide_next_step(&self, end: AttemptEnd) -> NextStep {
+        next_step(
+            end,
+            self.retry_allowance(self.delivered_attempts),
+            |cause| self.is_retry_paid.take() || self.try_spend(cause),
+        )
+    }
+
+    fn retry_allowance(&self, delivered_attempts: u32) -> RetryAllowance {
+        let now = self.shared.clock.now();
+        let time_left = self.deadline.saturating_duration_since(now);
+        RetryAllowance {
+            // A call during which two targets in a row crashed is not sent to a third
+            // one automatically.
+            repeatable: self.route.kind.is_repeatable() && !self.is_suspect(),
+            may_have_run: self.progress.may_have_run.get(),
+            has_other_target: self.declines < MAX_DECLINES
+                && self.replay_body.is_replayable()
+                && time_left > MIN_ATTEMPT_TIME,
+            attempts_left: self.route.max_attempts.saturating_sub(delivered_attempts),
+        }
+    }
+
+    /// Returns whether the call may be sent to another target while the outcome of
+    /// the attempt at `host` is still unknown. If so, the retry budget is charged for
+    /// the other attempt.
+    fn try_reserve_retry(&self, host: &str) -> bool {
+        let mut tried_hosts = self.tried_hosts.clone();
+        tried_hosts.push(host.to_owned());
+        let retry_allowance = self.retry_allowance(self.delivered_attempts + 1);
+        let step = next_step(AttemptEnd::Lost, retry_allowance, |cause| {
+            pick_target(self.shared, self.route, &self.head, &tried_hosts).is_some()
+                && self.try_spend(cause)
+        });
+        let is_reserved = step == NextStep::SendAgain;
+        self.is_retry_paid.set(is_reserved);
+        is_reserved
+    }
+
+    fn try_spend(&self, cause: RetryCause) -> bool {
+        let daemons = self.shared.daemons();
+        let now = self.shared.clock.now();
+        let mut budget = self.shared.budget.borrow_mut();
+        budget.try_spend(&self.head.service, cause, daemons, now)
+    }
+}
+
+/// Waits until the link to a target becomes unresponsive. Never completes for the
+/// target on this host.
+async fn wait_until_unresponsive(destination: &Destination) {
+    match destination {
+        Destination::Local => std::future::pending().await,
+        Destination::Peer(peer) => peer.fell_silent.notified().await,
+    }
+}
