--- a/crates/mesh/src/asking.rs
+++ b/crates/mesh/src/asking.rs
@@ -161,8 +161,8 @@
 
     /// Takes word that the peer has no steps to its version, or only steps too
     /// heavy for a link.
-    pub fn lacks_steps(&mut self, are_heavy: bool) {
-        let head_start = if are_heavy {
+    pub fn lacks_steps(&mut self, are_too_large: bool) {
+        let head_start = if are_too_large {
             Duration::ZERO
         } else {
             OTHERS_HEAD_START
@@ -252,7 +252,7 @@
             versions.number(),
             wanted.number
         );
-        Some(LinkMessage::WantVersion {
+        Some(LinkMessage::RequestVersion {
             have: versions.number(),
             or_whole,
         })
--- a/crates/mesh/src/body.rs
+++ b/crates/mesh/src/body.rs
@@ -7,7 +7,7 @@
 use tokio::sync::{mpsc, OwnedSemaphorePermit, Semaphore};
 use tokio::task::JoinHandle;
 
-use crate::peers::LinkUse;
+use crate::peers::LinkGuard;
 use crate::target::RunBody;
 
 /// The sender of a body went away before it was whole.
@@ -56,7 +56,7 @@
     stream: RecvStream,
     ahead: Bytes,
     /// Keeps the link open until the body was read.
-    in_use: Option<LinkUse>,
+    link_guard: Option<LinkGuard>,
 }
 
 impl LinkBody {
@@ -66,15 +66,15 @@
         LinkBody {
             stream,
             ahead: ahead.freeze(),
-            in_use: None,
+            link_guard: None,
         }
     }
 
     /// The same, holding the link that it comes over.
     #[must_use]
-    pub fn holding(self, in_use: LinkUse) -> LinkBody {
+    pub fn holding(self, link_guard: LinkGuard) -> LinkBody {
         LinkBody {
-            in_use: Some(in_use),
+            link_guard: Some(link_guard),
             ..self
         }
     }
@@ -89,8 +89,8 @@
         }
         match next_data(&mut self.stream).await {
             Some(Ok(piece)) => {
-                if let Some(link) = &self.in_use {
-                    link.hear();
+                if let Some(link) = &self.link_guard {
+                    link.record_received();
                 }
                 Ok(Some(piece))
             }
--- a/crates/mesh/src/calls/attempt.rs
+++ b/crates/mesh/src/calls/attempt.rs
@@ -13,10 +13,10 @@
 use super::pick::{Candidate, PickedTarget};
 use crate::body::{next_data, AnswerBody, CallBody, LinkBody};
 use crate::links::CALL_PATH;
-use crate::messages::{encode, take, AnswerHead, CallHead, ReplyHead};
+use crate::messages::{decode_next, encode, AnswerHead, CallHead, ReplyHead};
 use crate::metrics::CrossingCause;
-use crate::peers::{LinkUse, Peer};
-use crate::serve_peers::send_piece;
+use crate::peers::{LinkGuard, Peer};
+use crate::serve_peers::send_body_data;
 use crate::state::MeshShared;
 
 /// Bytes of an answer read before its head is passed on: while it is not,
@@ -114,12 +114,12 @@
         },
     };
     match reply {
-        ReplyHead::Declined { room_us, .. } => AttemptOutcome::Declined {
-            room_in: Duration::from_micros(room_us),
+        ReplyHead::Declined { room_in_us, .. } => AttemptOutcome::Declined {
+            room_in: Duration::from_micros(room_in_us),
         },
         ReplyHead::Rejected { .. } => AttemptOutcome::Rejected,
-        ReplyHead::HeldBack { left_us, .. } => AttemptOutcome::HeldBack {
-            left: Duration::from_micros(left_us),
+        ReplyHead::HeldBack { remaining_us, .. } => AttemptOutcome::HeldBack {
+            left: Duration::from_micros(remaining_us),
         },
         ReplyHead::Lost { ended, .. } => {
             if let Some(crash) = ended {
@@ -127,11 +127,15 @@
             }
             AttemptOutcome::Lost
         }
-        ReplyHead::Answer { head, ran_us, .. } => match body.read_ahead(READ_AHEAD).await {
+        ReplyHead::Answer {
+            head,
+            time_to_head_us,
+            ..
+        } => match body.read_ahead(READ_AHEAD).await {
             Ok(body) => AttemptOutcome::Answer {
                 head,
                 body,
-                ran: Duration::from_micros(ran_us),
+                ran: Duration::from_micros(time_to_head_us),
             },
             Err(_) => AttemptOutcome::Lost,
         },
@@ -155,7 +159,7 @@
         | ReplyHead::Rejected { load }
         | ReplyHead::HeldBack { load, .. }
         | ReplyHead::Lost { load, .. }
-        | ReplyHead::Answer { load, .. } => peer.describe_load(*load),
+        | ReplyHead::Answer { load, .. } => peer.set_target_load(*load),
     }
 }
 
@@ -170,7 +174,7 @@
         room_in: Duration::ZERO,
     };
     let link = peer.link.borrow().clone().ok_or_else(not_sent)?;
-    let in_use = LinkUse::new(peer, &shared.clock);
+    let link_guard = LinkGuard::new(peer, &shared.clock);
     let mut link = link.ready().await.map_err(|_| not_sent())?;
     let request = Request::post(CALL_PATH).body(()).map_err(|_| not_sent())?;
     let (answer, mut outgoing) = link.send_request(request, false).map_err(|_| not_sent())?;
@@ -181,7 +185,7 @@
         let mut buffer = BytesMut::new();
         loop {
             let unread = buffer.len();
-            match take::<ReplyHead>(&mut buffer) {
+            match decode_next::<ReplyHead>(&mut buffer) {
                 Ok(Some(reply)) => {
                     let length = match &reply {
                         ReplyHead::Answer { head, .. } => head.body_length.unwrap_or(0),
@@ -212,7 +216,7 @@
                 outgoing.send_data(encode(head), false).map_err(|_| ())?;
                 while let Some(piece) = pieces.next().await.map_err(|_| ())? {
                     shared.count_crossing(peer, CrossingCause::Call, piece.len());
-                    send_piece(&mut outgoing, piece).await.map_err(|_| ())?;
+                    send_body_data(&mut outgoing, piece).await.map_err(|_| ())?;
                 }
                 outgoing.send_data(Bytes::new(), true).map_err(|_| ())?;
             }
@@ -231,13 +235,13 @@
             },
             received = &mut reply => break received,
             () = tokio::time::sleep(DOUBT_AFTER) => {
-                peer.doubt(shared.clock.now(), DOUBT_AFTER);
+                peer.request_ping_if_idle(shared.clock.now(), DOUBT_AFTER);
             }
         }
     };
-    peer.hear(shared.clock.now());
+    peer.record_received(shared.clock.now());
     match received.map_err(lost)? {
-        Some((reply, body)) => Ok((reply, AnswerBody::Link(body.holding(in_use)))),
+        Some((reply, body)) => Ok((reply, AnswerBody::Link(body.holding(link_guard)))),
         None => Err(AttemptOutcome::Lost),
     }
 }
--- a/crates/mesh/src/calls/message.rs
+++ b/crates/mesh/src/calls/message.rs
@@ -9,7 +9,7 @@
 
 use super::ClientCall;
 use crate::body::CallBody;
-use crate::messages::{CallHead, UsualRun};
+use crate::messages::{CallHead, ExpectedRunTime};
 use crate::state::MeshShared;
 
 /// Until when an answer is worth most, counted from the client's first try.
@@ -46,12 +46,14 @@
         method: call.head.method,
         target: call.head.target,
         body_length,
-        left_us: 0,
-        aim_us: 0,
+        deadline_us: 0,
+        soft_deadline_us: 0,
         priority: call_priority,
         answer_bytes: shared.usual_answer(&route.name),
         kind: route.name.clone(),
-        usual_run: shared.usual_run(&route.name).map(UsualRun::from),
+        expected_run_time: shared
+            .expected_run_time(&route.name)
+            .map(ExpectedRunTime::from),
     };
     (head, call.body)
 }
--- a/crates/mesh/src/calls/pick.rs
+++ b/crates/mesh/src/calls/pick.rs
@@ -57,7 +57,7 @@
         .borrow()
         .get(&route.name)
         .map_or(0.0, |history| history.answer_kib);
-    let usual = head.usual_run.map(RunTime::from);
+    let usual = head.expected_run_time.map(RunTime::from);
     let transfer_kib = answer_kib + kib(head.body_length.unwrap_or(0));
     let mut seen = Vec::new();
     if let Some(status) = shared.gate.status() {
@@ -93,8 +93,8 @@
     }
     let request = PlacementRequest {
         transfer_kib,
-        soft_deadline_ms: millis(head.aim_us),
-        deadline_ms: millis(head.left_us),
+        soft_deadline_ms: millis(head.soft_deadline_us),
+        deadline_ms: millis(head.deadline_us),
         zone_has_target: false,
         is_above_lowest_priority: head.priority < shared.current_index().lowest_priority(),
     };
--- a/crates/mesh/src/calls/place.rs
+++ b/crates/mesh/src/calls/place.rs
@@ -18,7 +18,7 @@
 use super::story::CallStory;
 use super::{ClientAnswer, ClientCall, FIRST_FAILURE};
 use crate::body::AnswerBody;
-use crate::messages::{micros, AnswerHead, CallHead};
+use crate::messages::{to_micros, AnswerHead, CallHead};
 use crate::quarantine::ProbePermit;
 use crate::state::MeshShared;
 use ending::end_label;
@@ -128,8 +128,9 @@
             let now = self.shared.clock.now();
             let ends_by = self.shared.stop.ends_by().unwrap_or(self.limit);
             let limit = self.limit.min(ends_by);
-            self.head.left_us = micros(limit.saturating_duration_since(now));
-            self.head.aim_us = micros(self.soft_deadline.saturating_duration_since(now));
+            self.head.deadline_us = to_micros(limit.saturating_duration_since(now));
+            self.head.soft_deadline_us =
+                to_micros(self.soft_deadline.saturating_duration_since(now));
             if !self.may_go() {
                 return self.finish(silent).await;
             }
@@ -177,7 +178,7 @@
     /// may have been since the one before.
     fn may_go(&mut self) -> bool {
         let quarantine = &self.shared.quarantine;
-        let usual = self.head.usual_run.map(RunTime::from);
+        let usual = self.head.expected_run_time.map(RunTime::from);
         match quarantine.quarantine_state(self.head.identity) {
             QuarantineState::Unrestricted => return true,
             QuarantineState::ProbeInFlight if self.probe.is_some() => return true,
@@ -206,12 +207,12 @@
         }
         let until = self.limit.min(now + FIRST_LINK_WITHIN);
         loop {
-            let described = self.shared.peers.described.notified();
+            let target_updated = self.shared.peers.target_updated.notified();
             if pick(self.shared, self.route, &self.head, &[]).is_some() {
                 return;
             }
             tokio::select! {
-                () = described => {}
+                () = target_updated => {}
                 () = tokio::time::sleep_until(until.into()) => return,
             }
         }
@@ -340,6 +341,6 @@
 async fn fall_silent(candidate: &Candidate) {
     match candidate {
         Candidate::Here => std::future::pending().await,
-        Candidate::Peer(peer) => peer.fell_silent.notified().await,
+        Candidate::Peer(peer) => peer.became_unresponsive.notified().await,
     }
 }
--- a/crates/mesh/src/calls/place/ending.rs
+++ b/crates/mesh/src/calls/place/ending.rs
@@ -69,7 +69,7 @@
         let come_back = if self.last_end == Some(AttemptEnd::Rejected) {
             let run = self
                 .head
-                .usual_run
+                .expected_run_time
                 .map_or(NO_TARGET, |usual| RunTime::from(usual).mean);
             retry_after_shedding(run, left, spread)
         } else {
--- a/crates/mesh/src/control.rs
+++ b/crates/mesh/src/control.rs
@@ -7,14 +7,14 @@
 use filbert_policy::instance::InstanceChange;
 use tokio::net::TcpListener;
 
-use crate::small_server::{accept_for_ever, serve_requests, SmallAnswer};
+use crate::small_server::{accept_loop, serve_requests, SimpleResponse};
 use crate::state::MeshShared;
 
 /// Takes reports until the process ends.
 pub async fn serve(shared: Rc<MeshShared>, listener: TcpListener) {
-    accept_for_ever("control", listener, |stream| {
+    accept_loop("control", listener, |stream| {
         let shared = Rc::clone(&shared);
-        serve_requests(stream, move |head, body| SmallAnswer {
+        serve_requests(stream, move |head, body| SimpleResponse {
             status: take_call(&shared, head, body),
             content_type: "application/json",
             body: "{}".to_owned(),
--- a/crates/mesh/src/feeds.rs
+++ b/crates/mesh/src/feeds.rs
@@ -287,7 +287,7 @@
             if is_configuration {
                 shared.versions.store_is_away.set(false);
                 if !shared.follows() {
-                    shared.set_store_state(StoreState::Answers);
+                    shared.set_store_state(StoreState::Connected);
                 }
             }
             state.position = next;
@@ -306,7 +306,7 @@
             if is_configuration {
                 shared.versions.store_is_away.set(true);
                 if !shared.follows() {
-                    shared.set_store_state(StoreState::Lost);
+                    shared.set_store_state(StoreState::Disconnected);
                 }
             }
             // Rows may have vanished without a trace in the history while
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -284,7 +284,7 @@
     /// How long a run of `call` is expected to take here.
     #[must_use]
     pub fn expected_run(&self, call: &CallHead) -> RunTime {
-        let usual = call.usual_run.map(RunTime::from);
+        let usual = call.expected_run_time.map(RunTime::from);
         self.state.borrow().times.expect(&call.kind, usual)
     }
 
--- a/crates/mesh/src/gate/run.rs
+++ b/crates/mesh/src/gate/run.rs
@@ -13,7 +13,7 @@
 use super::{turn_time, Gate, StartedRun};
 use crate::body::{AheadBody, AnswerBody, CallBody};
 use crate::logging::LineWeight;
-use crate::messages::{micros, AnswerHead, CallHead, ReplyHead};
+use crate::messages::{to_micros, AnswerHead, CallHead, ReplyHead};
 use crate::quarantine::AgedCrash;
 use crate::rollouts::tally::{RunTold, RunWatch};
 use crate::target::{ExchangeEnd, ExchangeTerms};
@@ -33,8 +33,8 @@
         let received = self.clock.now();
         let demand = AdmissionRequest {
             priority: call.priority,
-            soft_deadline: received + Duration::from_micros(call.aim_us),
-            deadline: received + Duration::from_micros(call.left_us),
+            soft_deadline: received + Duration::from_micros(call.soft_deadline_us),
+            deadline: received + Duration::from_micros(call.deadline_us),
             run: self.expected_run(call),
             link,
         };
@@ -85,7 +85,9 @@
     /// Watches a run for a roll-out of the target's service.
     fn watch(&self, call: &CallHead) -> Option<RunWatch> {
         self.rollouts.is_watching(&call.service).then(|| {
-            let usual = call.usual_run.map(|usual| RunTime::from(usual).mean);
+            let usual = call
+                .expected_run_time
+                .map(|usual| RunTime::from(usual).mean);
             RunWatch::new(&self.rollouts, &self.clock, &call.kind, usual)
         })
     }
@@ -104,7 +106,7 @@
                 };
                 let reply = ReplyHead::Answer {
                     head: answer_head(&head),
-                    ran_us: micros(took),
+                    time_to_head_us: to_micros(took),
                     load: self.load(),
                 };
                 let is_short = head
@@ -150,7 +152,7 @@
         {
             let mut state = self.state.borrow_mut();
             if head.status < FIRST_FAILURE {
-                let usual = run.call.usual_run.map(RunTime::from);
+                let usual = run.call.expected_run_time.map(RunTime::from);
                 state.times.record(&run.call.kind, usual, took);
                 state.health.record(RunOutcome::Success);
             } else {
@@ -216,8 +218,8 @@
             load.slots,
             load.run_ms,
             load.link_ms,
-            call.aim_us / 1_000,
-            call.left_us / 1_000,
+            call.soft_deadline_us / 1_000,
+            call.deadline_us / 1_000,
             call.kind,
             call.priority,
             self.expected_run(call).mean.as_millis()
@@ -245,7 +247,7 @@
             );
         }
         Some(ReplyHead::HeldBack {
-            left_us: micros(left),
+            remaining_us: to_micros(left),
             load: self.load(),
         })
     }
@@ -270,7 +272,7 @@
     fn declined(&self, declined: Declined) -> ReplyHead {
         ReplyHead::Declined {
             closed: crate::messages::is_closed(declined.reason),
-            room_us: micros(declined.room_in),
+            room_in_us: to_micros(declined.room_in),
             load: self.load(),
         }
     }
--- a/crates/mesh/src/ingress/mod.rs
+++ b/crates/mesh/src/ingress/mod.rs
@@ -20,7 +20,7 @@
 use crate::calls::{self, ClientAnswer, ClientCall};
 use crate::egress::EgressPacer;
 use crate::messages::AnswerHead;
-use crate::small_server::{accept_for_ever, reason_phrase};
+use crate::small_server::{accept_loop, reason_phrase};
 use crate::sockets;
 use crate::state::MeshShared;
 use crate::stop::CallMark;
@@ -40,7 +40,7 @@
 
 /// Takes clients' connections until the process ends.
 pub async fn serve(shared: Rc<MeshShared>, listener: TcpListener) {
-    accept_for_ever("calls", listener, |stream| {
+    accept_loop("calls", listener, |stream| {
         serve_connection(Rc::clone(&shared), stream)
     })
     .await;
@@ -75,7 +75,7 @@
 }
 
 async fn serve_connection(shared: Rc<MeshShared>, stream: TcpStream) {
-    sockets::watch_silence(&stream);
+    sockets::set_socket_options(&stream);
     let (read, write) = stream.into_split();
     let state = ConnectionState {
         due: RefCell::new(VecDeque::new()),
--- a/crates/mesh/src/links.rs
+++ b/crates/mesh/src/links.rs
@@ -92,7 +92,7 @@
 }
 
 /// Keeps a link to `peer` for as long as it is wanted.
-pub async fn keep_linked(shared: Rc<MeshShared>, peer: Rc<Peer>) {
+pub async fn maintain_link(shared: Rc<MeshShared>, peer: Rc<Peer>) {
     let mut pause = FIRST_PAUSE;
     let mut down_since = shared.clock.now();
     while !peer.is_dropped.get() {
@@ -198,7 +198,7 @@
     let Some(mut pings) = pings else {
         return LinkError::Ended;
     };
-    peer.hear(shared.clock.now());
+    peer.record_received(shared.clock.now());
     let mut last_ping = shared.clock.now();
     loop {
         let is_doubted = tokio::select! {
@@ -216,7 +216,7 @@
         let answer = if let Some(answer) = await_pong(shared, peer, &mut pong).await {
             answer
         } else {
-            peer.mark_silent();
+            peer.mark_unresponsive();
             shared.members.changed.notify_one();
             log::info!("event=link_silent peer={}", peer.address.id);
             match tokio::time::timeout(PING_SILENCE, pong).await {
@@ -228,7 +228,7 @@
             }
         };
         match answer {
-            Ok(_) => peer.hear(shared.clock.now()),
+            Ok(_) => peer.record_received(shared.clock.now()),
             Err(error) => return LinkError::Protocol(error),
         }
     }
--- a/crates/mesh/src/members.rs
+++ b/crates/mesh/src/members.rs
@@ -214,17 +214,17 @@
     /// Takes over changes of hosts told by `from`.
     pub fn take_changes(&self, changes: HostChanges, from: &str) {
         let passes_on = self.passes_on(from);
-        for address in changes.came {
+        for address in changes.added {
             self.learn_host(address, from);
         }
-        for id in &changes.gone {
+        for id in &changes.removed {
             if passes_on {
                 self.members.note_news(id, HostNews::Gone);
             }
             self.forget_host(id, from);
         }
         let own = self.settings.borrow().id.clone();
-        for id in &changes.listed {
+        for id in &changes.registered {
             if *id == own {
                 self.see_own_row();
             } else if passes_on {
@@ -320,21 +320,21 @@
 
     /// Takes over a whole list of hosts, and tells those told by this daemon
     /// who is not on it.
-    pub fn take_members(&self, listed: Vec<PeerAddress>, from: &str) {
-        log::info!("event=members_taken hosts={} from={from}", listed.len());
+    pub fn take_members(&self, registered: Vec<PeerAddress>, from: &str) {
+        log::info!("event=members_taken hosts={} from={from}", registered.len());
         let own = self.own_address();
-        let gone: Vec<String> = self
+        let removed: Vec<String> = self
             .members
             .hosts
             .borrow()
             .keys()
-            .filter(|id| !listed.iter().any(|address| address.id == **id))
+            .filter(|id| !registered.iter().any(|address| address.id == **id))
             .cloned()
             .collect();
-        for id in gone {
+        for id in removed {
             self.row_is_gone(&id, from);
         }
-        for address in listed {
+        for address in registered {
             if address.id != own.id {
                 self.learn_host(address, from);
             }
--- a/crates/mesh/src/members/tell.rs
+++ b/crates/mesh/src/members/tell.rs
@@ -17,7 +17,7 @@
 
     /// A checksum of that list.
     #[must_use]
-    pub fn members_sum(&self) -> u64 {
+    pub fn members_checksum(&self) -> u64 {
         let sum_of = |address: &PeerAddress| XxHash64::oneshot(0, &encode(address));
         let hosts = self.members.hosts.borrow();
         let others = hosts.values().map(sum_of);
@@ -40,23 +40,23 @@
         let mut changes = HostChanges::default();
         for (id, news) in untold {
             match news {
-                HostNews::Came(address) => changes.came.push(address),
-                HostNews::Gone => changes.gone.push(id),
+                HostNews::Came(address) => changes.added.push(address),
+                HostNews::Gone => changes.removed.push(id),
                 HostNews::Listed(address) => {
-                    changes.came.push(address);
-                    changes.listed.push(id);
+                    changes.added.push(address);
+                    changes.registered.push(id);
                 }
             }
         }
         if !self.members.is_reader() {
             // Others tell of hosts; of the rows that it wrote it tells itself,
             // also where it has handed that over to another by now.
-            changes.came.clear();
-            changes.gone.clear();
+            changes.added.clear();
+            changes.removed.clear();
         }
-        if changes.came.len() > MOST_CAME {
-            changes.came.clear();
-            self.tell_followers(&LinkMessage::MembersSum(self.members_sum()));
+        if changes.added.len() > MOST_CAME {
+            changes.added.clear();
+            self.tell_followers(&LinkMessage::MembersChecksum(self.members_checksum()));
         }
         if changes != HostChanges::default() {
             self.tell_followers(&LinkMessage::HostsChanged(changes));
@@ -76,7 +76,7 @@
         }
         if state.is_current() {
             // Those that linked here before were not told whom it knows.
-            self.tell_followers(&LinkMessage::MembersSum(self.members_sum()));
+            self.tell_followers(&LinkMessage::MembersChecksum(self.members_checksum()));
         }
         self.peers.broadcast(&encode(&LinkMessage::Store(state)));
     }
--- a/crates/mesh/src/messages.rs
+++ b/crates/mesh/src/messages.rs
@@ -16,9 +16,9 @@
 use crate::rollouts::news::{RolloutNews, TargetTally};
 use crate::text_delta::TextDelta;
 
-pub use calls::{AnswerHead, CallHead, ReplyHead, UsualRun};
+pub use calls::{AnswerHead, CallHead, ExpectedRunTime, ReplyHead};
 pub use hosts::{HostChanges, HostList, RowChange};
-pub use organisations::VersionAge;
+pub use organisations::VersionConfirmation;
 
 /// Longest message, in bytes: a version of a few thousand routes fits.
 const MAX_MESSAGE: usize = 16 * 1024 * 1024;
@@ -111,32 +111,32 @@
         left: Vec<InstanceKey>,
     },
     /// The host meant is not here: its address is another's now.
-    NotHere(PeerAddress),
+    WrongHost(PeerAddress),
     /// The receiver should list the hosts that it knows.
-    WantMembers,
+    RequestMembers,
     /// All hosts that the sender knows, itself included.
     Members(HostList),
     /// A checksum of them. The list of 400 hosts is 36 KB; told to 60 daemons
     /// whenever the store came back it filled a link of 10 Mbit/s for two
     /// seconds, and calls reached their targets after their callers had left.
-    MembersSum(u64),
+    MembersChecksum(u64),
     /// What became of hosts.
     HostsChanged(HostChanges),
     /// The sender, a reader of its zone, is to be told of hosts like those of
     /// the receiver's own zone.
-    Follow,
+    RequestHostUpdates,
     /// The receiver should see to a host's row.
-    WantRow {
+    RequestRowChange {
         /// What is to become of it.
         change: RowChange,
         /// Whether the sender was asked for it itself. The receiver then sees
         /// to it by itself, so that it cannot go in circles.
-        is_passed_on: bool,
+        is_forwarded: bool,
     },
     /// What the sender has of the store.
     Store(StoreState),
     /// The store is giving the sender a version that is too heavy for links.
-    HeavyVersion,
+    OversizedVersion,
     /// The target beside the sender; `None` when there is none.
     Target(Option<TargetStatus>),
     /// The version that the sender has in force.
@@ -145,7 +145,7 @@
         version: u64,
     },
     /// The receiver should send what leads to its version.
-    WantVersion {
+    RequestVersion {
         /// The version that the sender has in force.
         have: u64,
         /// Whether the whole text is wanted if steps do not lead there.
@@ -165,7 +165,7 @@
     /// The sender has no steps to tell.
     NoSteps {
         /// Whether they are too heavy for a link, rather than not known.
-        are_heavy: bool,
+        are_too_large: bool,
     },
     /// A whole version, as the operator wrote it.
     Version {
@@ -173,9 +173,9 @@
         deflated: Vec<u8>,
     },
     /// How old the newest version is.
-    VersionAge(VersionAge),
+    VersionConfirmation(VersionConfirmation),
     /// The receiver should say what the store's clock shows.
-    WantClock {
+    RequestClock {
         /// The sender's time, in microseconds since its host's start.
         asked_us: u64,
     },
@@ -190,9 +190,9 @@
     },
     /// The sender brings its part of the tokens to the pool of the receiver, a reader
     /// of its zone, for a while.
-    RenewPool,
+    RenewPoolLease,
     /// The receiver should grant tokens for calls.
-    WantTokens {
+    RequestTokens {
         /// Names the question.
         ask: u64,
         /// The organisation whose calls they are for.
@@ -201,13 +201,13 @@
         wanted: u32,
     },
     /// What the sender's pool grants.
-    Tokens {
+    GrantTokens {
         /// The question.
         ask: u64,
         /// How many.
         granted: u32,
         /// Microseconds until the next one, when there is none.
-        dry_us: u64,
+        next_token_in_us: u64,
     },
 }
 
@@ -218,25 +218,25 @@
     #[default]
     Unused,
     /// It asks it, and it answers.
-    Answers,
+    Connected,
     /// It asks in vain.
-    Lost,
+    Disconnected,
     /// It passes on what daemons that ask tell it.
-    Told,
+    Relayed,
 }
 
 impl StoreState {
     /// Whether a daemon in this state tells others what lies in the store, be
     /// it that it asks in vain just now: with some that do, others would too.
     #[must_use]
-    pub fn tells(self) -> bool {
+    pub fn relays_store(self) -> bool {
         self != StoreState::Unused
     }
 
     /// Whether what a daemon in this state knows of the hosts is up to date.
     #[must_use]
     pub fn is_current(self) -> bool {
-        matches!(self, StoreState::Answers | StoreState::Told)
+        matches!(self, StoreState::Connected | StoreState::Relayed)
     }
 }
 
@@ -253,7 +253,7 @@
 
 /// A time in microseconds, as messages carry it.
 #[must_use]
-pub fn micros(time: Duration) -> u64 {
+pub fn to_micros(time: Duration) -> u64 {
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
@@ -286,7 +286,9 @@
 ///
 /// # Errors
 /// [`BadMessage`] when the bytes are not such a message.
-pub fn take<M: for<'de> Deserialize<'de>>(buffer: &mut BytesMut) -> Result<Option<M>, BadMessage> {
+pub fn decode_next<M: for<'de> Deserialize<'de>>(
+    buffer: &mut BytesMut,
+) -> Result<Option<M>, BadMessage> {
     let Some(prefix) = buffer.first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
     };
--- a/crates/mesh/src/messages/calls.rs
+++ b/crates/mesh/src/messages/calls.rs
@@ -6,7 +6,7 @@
 use filbert_policy::run_times::RunTime;
 use serde::{Deserialize, Serialize};
 
-use super::{micros, TargetLoad};
+use super::{to_micros, TargetLoad};
 use crate::quarantine::AgedCrash;
 
 /// A call on its way to the target's daemon; its body follows.
@@ -29,9 +29,9 @@
     /// Whether it has a body.
     pub has_body: bool,
     /// Microseconds until an answer is worth nothing.
-    pub left_us: u64,
+    pub deadline_us: u64,
     /// Microseconds until an answer is worth less; 0 when that is past.
-    pub aim_us: u64,
+    pub soft_deadline_us: u64,
     /// Its rank; 0 goes first.
     pub priority: u8,
     /// Usual size of an answer to it, in bytes.
@@ -39,32 +39,32 @@
     /// Its kind: the name of its route.
     pub kind: String,
     /// Usual time of a run of this kind.
-    pub usual_run: Option<UsualRun>,
+    pub expected_run_time: Option<ExpectedRunTime>,
 }
 
 /// What runs of a kind usually take, on all targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UsualRun {
+pub struct ExpectedRunTime {
     /// On average, in microseconds.
     pub mean_us: u64,
     /// Mean distance from that, in microseconds.
-    pub spread_us: u64,
+    pub mean_deviation_us: u64,
 }
 
-impl From<RunTime> for UsualRun {
-    fn from(time: RunTime) -> UsualRun {
-        UsualRun {
-            mean_us: micros(time.mean),
-            spread_us: micros(time.mean_deviation),
+impl From<RunTime> for ExpectedRunTime {
+    fn from(time: RunTime) -> ExpectedRunTime {
+        ExpectedRunTime {
+            mean_us: to_micros(time.mean),
+            mean_deviation_us: to_micros(time.mean_deviation),
         }
     }
 }
 
-impl From<UsualRun> for RunTime {
-    fn from(usual: UsualRun) -> RunTime {
+impl From<ExpectedRunTime> for RunTime {
+    fn from(usual: ExpectedRunTime) -> RunTime {
         RunTime {
             mean: Duration::from_micros(usual.mean_us),
-            mean_deviation: Duration::from_micros(usual.spread_us),
+            mean_deviation: Duration::from_micros(usual.mean_deviation_us),
         }
     }
 }
@@ -77,7 +77,7 @@
         /// Whether the gate was closed rather than crowded.
         closed: bool,
         /// Microseconds until room is expected.
-        room_us: u64,
+        room_in_us: u64,
         /// The target's load.
         load: TargetLoad,
     },
@@ -89,7 +89,7 @@
     /// The call is held back, and was not sent.
     HeldBack {
         /// Microseconds for which it is.
-        left_us: u64,
+        remaining_us: u64,
         /// The target's load.
         load: TargetLoad,
     },
@@ -105,7 +105,7 @@
         /// Its head.
         head: AnswerHead,
         /// Time from the start of the run to that head, in microseconds.
-        ran_us: u64,
+        time_to_head_us: u64,
         /// The target's load.
         load: TargetLoad,
     },
--- a/crates/mesh/src/messages/hosts.rs
+++ b/crates/mesh/src/messages/hosts.rs
@@ -42,11 +42,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostChanges {
     /// Those that came, or changed their address.
-    pub came: Vec<PeerAddress>,
+    pub added: Vec<PeerAddress>,
     /// Names of those whose row is gone.
-    pub gone: Vec<String>,
+    pub removed: Vec<String>,
     /// Names of those whose row was written for them.
-    pub listed: Vec<String>,
+    pub registered: Vec<String>,
 }
 
 /// What is to become of a host's row in the store.
--- a/crates/mesh/src/messages/organisations.rs
+++ b/crates/mesh/src/messages/organisations.rs
@@ -4,7 +4,7 @@
 
 /// Word that a version was the store's newest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct VersionAge {
+pub struct VersionConfirmation {
     /// How often the store had come back from an older copy.
     pub era: u64,
     /// The version.
--- a/crates/mesh/src/metrics.rs
+++ b/crates/mesh/src/metrics.rs
@@ -10,7 +10,7 @@
 use prometheus::{Encoder, Registry, TextEncoder};
 use tokio::net::TcpListener;
 
-use crate::small_server::{accept_for_ever, serve_requests, SmallAnswer};
+use crate::small_server::{accept_loop, serve_requests, SimpleResponse};
 use crate::state::MeshShared;
 
 /// Upper bounds of the latency histograms, in seconds: the aims of calls lie
@@ -230,7 +230,7 @@
 
     fn text(&self, shared: &MeshShared) -> String {
         self.version.record(shared.versions.number(), &[]);
-        self.links.record(shared.peers.linked() as u64, &[]);
+        self.links.record(shared.peers.linked_count() as u64, &[]);
         self.peers.record((shared.members.count() - 1) as u64, &[]);
         self.held.record(shared.quarantine.held() as u64, &[]);
         if let Some(status) = shared.gate.status() {
@@ -266,9 +266,9 @@
 
 /// Serves the metrics until the process ends.
 pub async fn serve(shared: Rc<MeshShared>, listener: TcpListener) {
-    accept_for_ever("metrics", listener, |stream| {
+    accept_loop("metrics", listener, |stream| {
         let shared = Rc::clone(&shared);
-        serve_requests(stream, move |_, _| SmallAnswer {
+        serve_requests(stream, move |_, _| SimpleResponse {
             status: 200,
             content_type: "text/plain; version=0.0.4",
             body: shared.metrics.text(&shared),
--- a/crates/mesh/src/news.rs
+++ b/crates/mesh/src/news.rs
@@ -14,7 +14,7 @@
 use crate::asking::VersionAsker;
 use crate::body::next_data;
 use crate::links::{LinkError, NEWS_PATH, OPEN_TIMEOUT};
-use crate::messages::{encode, take, LinkMessage, TargetState, TargetStatus};
+use crate::messages::{decode_next, encode, LinkMessage, TargetState, TargetStatus};
 use crate::metrics::CrossingCause;
 use crate::peers::Peer;
 use crate::state::MeshShared;
@@ -48,16 +48,16 @@
         to: peer.address.id.clone(),
         left: peer.left(),
     };
-    if let Err(error) = listener.say(&hello) {
+    if let Err(error) = listener.send_message(&hello) {
         return error;
     }
     if let Some(suspects) = shared.quarantine.suspects() {
-        if let Err(error) = listener.say(&suspects) {
+        if let Err(error) = listener.send_message(&suspects) {
             return error;
         }
     }
     if let Some(rollouts) = shared.all_rollouts() {
-        if let Err(error) = listener.say(&rollouts) {
+        if let Err(error) = listener.send_message(&rollouts) {
             return error;
         }
     }
@@ -98,14 +98,14 @@
         loop {
             self.take_messages(&mut buffer)?;
             while let Some(message) = self.peer.next_unsent() {
-                self.say(&message)?;
+                self.send_message(&message)?;
             }
             let ask_at = self.asker.ask_at();
             let members_at = self.members_due.map(|(at, _)| at);
             tokio::select! {
                 data = next_data(&mut incoming) => match data {
                     Some(Ok(piece)) => {
-                        self.peer.hear(self.shared.clock.now());
+                        self.peer.record_received(self.shared.clock.now());
                         buffer.extend_from_slice(&piece);
                     }
                     Some(Err(error)) => return Err(LinkError::Protocol(error)),
@@ -114,7 +114,7 @@
                 () = self.peer.has_unsent.notified() => {}
                 () = until(ask_at) => {
                     if let Some(ask) = self.asker.ask() {
-                        self.say(&ask)?;
+                        self.send_message(&ask)?;
                     }
                 }
                 () = until(members_at) => self.ask_members()?,
@@ -125,12 +125,12 @@
     /// Takes the messages that are whole by now.
     fn take_messages(&mut self, buffer: &mut BytesMut) -> Result<(), LinkError> {
         let mut unread = buffer.len();
-        while let Some(message) = take(buffer).map_err(|_| LinkError::Frame)? {
+        while let Some(message) = decode_next(buffer).map_err(|_| LinkError::Frame)? {
             let bytes = unread - buffer.len();
             unread = buffer.len();
             self.shared
                 .count_crossing(self.peer, cause_of(&message), bytes);
-            if !matches!(message, LinkMessage::NotHere(_)) {
+            if !matches!(message, LinkMessage::WrongHost(_)) {
                 self.come_up();
             }
             self.take_message(message)?;
@@ -169,17 +169,17 @@
                 self.shared.offer_deflated(&deflated, from);
                 self.asker.take_answer();
             }
-            LinkMessage::NoSteps { are_heavy } => self.asker.lacks_steps(are_heavy),
-            LinkMessage::MembersSum(sum) => {
-                let is_other = sum != self.shared.members_sum();
+            LinkMessage::NoSteps { are_too_large } => self.asker.lacks_steps(are_too_large),
+            LinkMessage::MembersChecksum(sum) => {
+                let is_other = sum != self.shared.members_checksum();
                 let at = self.shared.clock.now() + MEMBERS_SETTLE;
                 self.members_due = is_other.then_some((at, sum));
             }
-            LinkMessage::NotHere(other) => {
+            LinkMessage::WrongHost(other) => {
                 self.shared.host_was_replaced(&self.peer.address, other);
                 return Err(LinkError::Replaced);
             }
-            LinkMessage::WantMembers => self.say(&self.shared.member_list())?,
+            LinkMessage::RequestMembers => self.send_message(&self.shared.member_list())?,
             other => heard_news(self.shared, self.peer, other),
         }
         Ok(())
@@ -188,14 +188,14 @@
     /// Asks for the list of hosts, unless this daemon has it by now.
     fn ask_members(&mut self) -> Result<(), LinkError> {
         let told = self.members_due.take().map(|(_, sum)| sum);
-        let is_missed = told != Some(self.shared.members_sum());
+        let is_missed = told != Some(self.shared.members_checksum());
         if is_missed && self.shared.is_upstream(&self.peer.address.id) {
-            self.say(&LinkMessage::WantMembers)?;
+            self.send_message(&LinkMessage::RequestMembers)?;
         }
         Ok(())
     }
 
-    fn say(&mut self, message: &LinkMessage) -> Result<(), LinkError> {
+    fn send_message(&mut self, message: &LinkMessage) -> Result<(), LinkError> {
         let frame = encode(message);
         self.shared
             .count_crossing(self.peer, cause_of(message), frame.len());
@@ -219,25 +219,25 @@
         LinkMessage::Suspects(_) => CrossingCause::Suspect,
         LinkMessage::Rollouts(_) | LinkMessage::Tallies(_) => CrossingCause::Rollout,
         LinkMessage::InForce { .. }
-        | LinkMessage::WantVersion { .. }
-        | LinkMessage::HeavyVersion
+        | LinkMessage::RequestVersion { .. }
+        | LinkMessage::OversizedVersion
         | LinkMessage::Steps { .. }
         | LinkMessage::NoSteps { .. }
-        | LinkMessage::VersionAge(_)
-        | LinkMessage::WantClock { .. }
+        | LinkMessage::VersionConfirmation(_)
+        | LinkMessage::RequestClock { .. }
         | LinkMessage::StoreClock { .. }
         | LinkMessage::Version { .. } => CrossingCause::Version,
-        LinkMessage::RenewPool | LinkMessage::WantTokens { .. } | LinkMessage::Tokens { .. } => {
-            CrossingCause::Token
-        }
+        LinkMessage::RenewPoolLease
+        | LinkMessage::RequestTokens { .. }
+        | LinkMessage::GrantTokens { .. } => CrossingCause::Token,
         LinkMessage::Hello { .. }
-        | LinkMessage::NotHere(_)
-        | LinkMessage::WantMembers
+        | LinkMessage::WrongHost(_)
+        | LinkMessage::RequestMembers
         | LinkMessage::Members(_)
-        | LinkMessage::MembersSum(_)
+        | LinkMessage::MembersChecksum(_)
         | LinkMessage::HostsChanged(_)
-        | LinkMessage::Follow
-        | LinkMessage::WantRow { .. }
+        | LinkMessage::RequestHostUpdates
+        | LinkMessage::RequestRowChange { .. }
         | LinkMessage::Store(_) => CrossingCause::Member,
     }
 }
@@ -248,7 +248,7 @@
     match message {
         LinkMessage::Target(target) => {
             heard_target(peer, target);
-            shared.peers.described.notify_waiters();
+            shared.peers.target_updated.notify_waiters();
         }
         LinkMessage::Store(state) => {
             if peer.store.replace(state) != state {
@@ -271,7 +271,7 @@
                 shared.take_members(hosts, from);
             }
         }
-        LinkMessage::HeavyVersion => {
+        LinkMessage::OversizedVersion => {
             if shared.follows() {
                 log::info!("event=heavy_version_coming from={from}");
                 shared.versions.wanted.notify_one();
@@ -280,7 +280,7 @@
         LinkMessage::HostsChanged(changes) => shared.take_changes(changes, from),
         LinkMessage::Suspects(calls) => shared.quarantine.hear(&calls, from),
         LinkMessage::Rollouts(news) => shared.hear_rollouts(&news, from),
-        LinkMessage::VersionAge(told) => shared.hear_age(told, peer),
+        LinkMessage::VersionConfirmation(told) => shared.hear_age(told, peer),
         LinkMessage::StoreClock {
             era,
             latest_us,
@@ -289,29 +289,29 @@
             let asked = Duration::from_micros(asked_us);
             shared.hear_clock(era, Duration::from_micros(latest_us), asked);
         }
-        LinkMessage::Tokens {
+        LinkMessage::GrantTokens {
             ask,
             granted,
-            dry_us,
+            next_token_in_us,
         } => shared.organisations.hear_grant(
             ask,
             TokenGrant {
                 tokens: granted,
-                next_token_in: Duration::from_micros(dry_us),
+                next_token_in: Duration::from_micros(next_token_in_us),
             },
         ),
-        LinkMessage::WantTokens { .. }
-        | LinkMessage::RenewPool
-        | LinkMessage::WantClock { .. }
+        LinkMessage::RequestTokens { .. }
+        | LinkMessage::RenewPoolLease
+        | LinkMessage::RequestClock { .. }
         | LinkMessage::Tallies(_)
         | LinkMessage::InForce { .. }
-        | LinkMessage::MembersSum(_)
+        | LinkMessage::MembersChecksum(_)
         | LinkMessage::Hello { .. }
-        | LinkMessage::NotHere(_)
-        | LinkMessage::Follow
-        | LinkMessage::WantRow { .. }
-        | LinkMessage::WantMembers
-        | LinkMessage::WantVersion { .. }
+        | LinkMessage::WrongHost(_)
+        | LinkMessage::RequestHostUpdates
+        | LinkMessage::RequestRowChange { .. }
+        | LinkMessage::RequestMembers
+        | LinkMessage::RequestVersion { .. }
         | LinkMessage::Steps { .. }
         | LinkMessage::Version { .. }
         | LinkMessage::NoSteps { .. } => {}
--- a/crates/mesh/src/organisations/age.rs
+++ b/crates/mesh/src/organisations/age.rs
@@ -6,16 +6,16 @@
 use filbert_platform::store::SnapshotTime;
 use filbert_policy::organisations::freshness::Confirmation;
 
-use crate::messages::{micros, LinkMessage, VersionAge};
+use crate::messages::{to_micros, LinkMessage, VersionConfirmation};
 use crate::peers::Peer;
 use crate::state::MeshShared;
 
-impl VersionAge {
-    fn of(confirmation: Confirmation) -> VersionAge {
-        VersionAge {
+impl VersionConfirmation {
+    fn of(confirmation: Confirmation) -> VersionConfirmation {
+        VersionConfirmation {
             era: confirmation.era,
             version: confirmation.version,
-            at_us: micros(confirmation.at),
+            at_us: to_micros(confirmation.at),
         }
     }
 
@@ -52,7 +52,7 @@
     }
 
     /// Takes word of `upstream` on the age of the newest version.
-    pub fn hear_age(&self, told: VersionAge, upstream: &Peer) {
+    pub fn hear_age(&self, told: VersionConfirmation, upstream: &Peer) {
         if !self.is_upstream(&upstream.address.id) {
             return;
         }
@@ -62,7 +62,7 @@
         desk.age.borrow_mut().confirm(told.confirmation(), version);
         let now = self.clock.since_boot();
         if desk.age.borrow().needs_clock_sample(now) {
-            upstream.ask_clock(now);
+            upstream.request_clock(now);
         }
         let is_news = desk.age.borrow().newest_confirmation() != before;
         if is_news && !self.members.is_source() {
@@ -86,7 +86,7 @@
         let (era, latest) = age.store_clock(self.clock.since_boot())?;
         Some(LinkMessage::StoreClock {
             era,
-            latest_us: micros(latest),
+            latest_us: to_micros(latest),
             asked_us,
         })
     }
@@ -95,7 +95,9 @@
     #[must_use]
     pub fn version_age(&self) -> Option<LinkMessage> {
         let newest_confirmation = self.organisations.age.borrow().newest_confirmation()?;
-        Some(LinkMessage::VersionAge(VersionAge::of(newest_confirmation)))
+        Some(LinkMessage::VersionConfirmation(VersionConfirmation::of(
+            newest_confirmation,
+        )))
     }
 
     fn tell_age(&self) {
--- a/crates/mesh/src/organisations/tokens.rs
+++ b/crates/mesh/src/organisations/tokens.rs
@@ -11,7 +11,7 @@
 use twox_hash::XxHash64;
 
 use super::{OrganisationDesk, TokenCacheEntry};
-use crate::messages::{micros, LinkMessage};
+use crate::messages::{to_micros, LinkMessage};
 use crate::peers::Peer;
 use crate::state::MeshShared;
 
@@ -235,7 +235,7 @@
             .borrow_mut()
             .renew(&wanted, POOLS, now);
         for peer in due.iter().filter_map(|id| self.peers.get(id)) {
-            peer.say(LinkMessage::RenewPool);
+            peer.send_message(LinkMessage::RenewPoolLease);
         }
     }
 
@@ -260,12 +260,12 @@
 
     async fn ask_peer(&self, peer: &Peer, organisation: &str, wanted: u32) -> Option<TokenGrant> {
         let (ask, answer) = self.organisations.begin_ask();
-        let message = LinkMessage::WantTokens {
+        let message = LinkMessage::RequestTokens {
             ask,
             organisation: organisation.to_owned(),
             wanted,
         };
-        if !peer.say(message) {
+        if !peer.send_message(message) {
             self.organisations.end_ask(ask);
             return None;
         }
@@ -349,9 +349,9 @@
     } else {
         NOTHING
     };
-    LinkMessage::Tokens {
+    LinkMessage::GrantTokens {
         ask,
         granted: grant.tokens,
-        dry_us: micros(grant.next_token_in),
+        next_token_in_us: to_micros(grant.next_token_in),
     }
 }
--- a/crates/mesh/src/peers.rs
+++ b/crates/mesh/src/peers.rs
@@ -16,10 +16,10 @@
 use tokio::sync::Notify;
 
 use crate::messages::{
-    micros, LinkMessage, PeerAddress, StoreState, TargetLoad, TargetState, TargetStatus,
+    to_micros, LinkMessage, PeerAddress, StoreState, TargetLoad, TargetState, TargetStatus,
 };
 
-pub use book::{NewsFeed, PeerBook};
+pub use book::{NewsFeed, PeerTable};
 
 /// Leaving instances remembered for a host: more than one is replaced there
 /// only in a long time.
@@ -67,9 +67,9 @@
     /// Asks for a PING now.
     pub doubted: Notify,
     /// Whether a PING is overdue.
-    is_silent: Cell<bool>,
+    is_unresponsive: Cell<bool>,
     /// Wakes calls under way when the link falls silent.
-    pub fell_silent: Notify,
+    pub became_unresponsive: Notify,
 }
 
 impl Peer {
@@ -95,15 +95,15 @@
             clock_asked: Cell::new(None),
             heard: Cell::new(None),
             doubted: Notify::new(),
-            is_silent: Cell::new(false),
-            fell_silent: Notify::new(),
+            is_unresponsive: Cell::new(false),
+            became_unresponsive: Notify::new(),
         })
     }
 
     /// Whether calls and news go over the link.
     #[must_use]
     pub fn is_linked(&self) -> bool {
-        self.link.borrow().is_some() && !self.is_silent.get()
+        self.link.borrow().is_some() && !self.is_unresponsive.get()
     }
 
     /// Forgets what was true of a link that ended.
@@ -118,7 +118,7 @@
     }
 
     /// Sends a message over the link, if there is one; whether there is.
-    pub fn say(&self, message: LinkMessage) -> bool {
+    pub fn send_message(&self, message: LinkMessage) -> bool {
         if !self.is_linked() {
             return false;
         }
@@ -134,21 +134,22 @@
     }
 
     /// Asks it, once a link, to tell of hosts.
-    pub fn follow(&self) {
+    pub fn request_host_updates(&self) {
         if !self.is_followed.get() {
-            self.is_followed.set(self.say(LinkMessage::Follow));
+            self.is_followed
+                .set(self.send_message(LinkMessage::RequestHostUpdates));
         }
     }
 
     /// Asks it, unless it was of late, what the store's clock shows; `now` counts
     /// from the own host's start.
-    pub fn ask_clock(&self, now: Duration) {
+    pub fn request_clock(&self, now: Duration) {
         let asked = self.clock_asked.get();
         if asked.is_some_and(|asked| now < asked + CLOCK_AGAIN) {
             return;
         }
-        let asked_us = micros(now);
-        if self.say(LinkMessage::WantClock { asked_us }) {
+        let asked_us = to_micros(now);
+        if self.send_message(LinkMessage::RequestClock { asked_us }) {
             self.clock_asked.set(Some(now));
         }
     }
@@ -177,23 +178,23 @@
     }
 
     /// Notes that something came over the link.
-    pub fn hear(&self, now: Instant) {
+    pub fn record_received(&self, now: Instant) {
         self.heard.set(Some(now));
-        self.is_silent.set(false);
+        self.is_unresponsive.set(false);
     }
 
     /// Asks for a PING if nothing came over the link for `pause`.
-    pub fn doubt(&self, now: Instant, pause: Duration) {
-        if !self.heard_within(now, pause) && !self.is_silent.get() {
+    pub fn request_ping_if_idle(&self, now: Instant, pause: Duration) {
+        if !self.heard_within(now, pause) && !self.is_unresponsive.get() {
             self.doubted.notify_one();
         }
     }
 
     /// Notes that a PING is overdue: no new calls go there, and calls under
     /// way that may be sent again are.
-    pub fn mark_silent(&self) {
-        self.is_silent.set(true);
-        self.fell_silent.notify_waiters();
+    pub fn mark_unresponsive(&self) {
+        self.is_unresponsive.set(true);
+        self.became_unresponsive.notify_waiters();
     }
 
     /// Whether it answers.
@@ -201,7 +202,7 @@
     pub fn reachability(&self) -> Reachability {
         if self.is_failing.get() {
             Reachability::Unreachable
-        } else if self.is_silent.get() {
+        } else if self.is_unresponsive.get() {
             Reachability::Unresponsive
         } else {
             Reachability::Reachable
@@ -230,7 +231,7 @@
     }
 
     /// Takes over the load that an answer carried.
-    pub fn describe_load(&self, load: TargetLoad) {
+    pub fn set_target_load(&self, load: TargetLoad) {
         if let Some(target) = self.target.borrow_mut().as_mut() {
             self.sent_since.set(0);
             target.load = load;
@@ -254,7 +255,7 @@
     #[must_use]
     pub fn target(&self) -> Option<(TargetStatus, u32)> {
         self.link.borrow().as_ref()?;
-        if self.is_silent.get() {
+        if self.is_unresponsive.get() {
             return None;
         }
         let target = self.target.borrow().clone()?;
@@ -263,29 +264,29 @@
 }
 
 /// A call's use of a link; a released link stays open for as long as one lives.
-pub struct LinkUse {
+pub struct LinkGuard {
     peer: Rc<Peer>,
     clock: Rc<dyn Clock>,
 }
 
-impl LinkUse {
+impl LinkGuard {
     /// Counts a call on the link to `peer`.
     #[must_use]
-    pub fn new(peer: &Rc<Peer>, clock: &Rc<dyn Clock>) -> LinkUse {
+    pub fn new(peer: &Rc<Peer>, clock: &Rc<dyn Clock>) -> LinkGuard {
         peer.in_use.set(peer.in_use.get() + 1);
-        LinkUse {
+        LinkGuard {
             peer: Rc::clone(peer),
             clock: Rc::clone(clock),
         }
     }
 
     /// Notes that something came for the call.
-    pub fn hear(&self) {
-        self.peer.hear(self.clock.now());
+    pub fn record_received(&self) {
+        self.peer.record_received(self.clock.now());
     }
 }
 
-impl Drop for LinkUse {
+impl Drop for LinkGuard {
     fn drop(&mut self) {
         self.peer.in_use.set(self.peer.in_use.get() - 1);
         if self.peer.is_done() {
@@ -294,7 +295,7 @@
     }
 }
 
-impl std::fmt::Debug for LinkUse {
+impl std::fmt::Debug for LinkGuard {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(formatter, "LinkUse({})", self.peer.address.id)
     }
--- a/crates/mesh/src/peers/book.rs
+++ b/crates/mesh/src/peers/book.rs
@@ -35,21 +35,21 @@
 
 /// The daemons linked to, by host name, and those that want news from here.
 #[derive(Default)]
-pub struct PeerBook {
+pub struct PeerTable {
     peers: RefCell<BTreeMap<String, Rc<Peer>>>,
     watchers: RefCell<Vec<NewsWatcher>>,
     /// Wakes calls that wait for a first target of their service.
-    pub described: Notify,
+    pub target_updated: Notify,
 }
 
 /// Messages that may wait for one watcher; one that falls further behind is
 /// dropped, and its link with it.
 const WATCHER_QUEUE: usize = 64;
 
-impl PeerBook {
+impl PeerTable {
     /// The entry for `address`, if there is none yet or the host moved: it is
     /// to be dialed.
-    pub fn link_to(&self, address: &PeerAddress) -> Option<Rc<Peer>> {
+    pub fn add_or_replace(&self, address: &PeerAddress) -> Option<Rc<Peer>> {
         let mut peers = self.peers.borrow_mut();
         if let Some(known) = peers.get(&address.id) {
             if known.address == *address {
@@ -63,7 +63,7 @@
     }
 
     /// Ends the link to a host as soon as no call uses it.
-    pub fn release(&self, id: &str) {
+    pub fn remove(&self, id: &str) {
         if let Some(peer) = self.peers.borrow_mut().remove(id) {
             drop_peer(&peer);
         }
@@ -89,7 +89,7 @@
 
     /// Number of peers with a link up.
     #[must_use]
-    pub fn linked(&self) -> usize {
+    pub fn linked_count(&self) -> usize {
         self.peers
             .borrow()
             .values()
@@ -123,7 +123,7 @@
 
     /// Number of daemons that want news from here.
     #[must_use]
-    pub fn watchers(&self) -> usize {
+    pub fn subscriber_count(&self) -> usize {
         self.watchers.borrow().len()
     }
 
@@ -145,7 +145,7 @@
     }
 
     /// Tells `most` of the daemons that linked here, drawn at random.
-    pub fn broadcast_to(&self, most: usize, frame: &Bytes) {
+    pub fn broadcast_to_random(&self, most: usize, frame: &Bytes) {
         let mut watchers = self.watchers.borrow_mut();
         watchers.shuffle(&mut rand::rng());
         let mut told = 0;
@@ -157,7 +157,7 @@
 
     /// `most` of the peers with a link up, drawn at random.
     #[must_use]
-    pub fn some_linked(&self, most: usize) -> Vec<Rc<Peer>> {
+    pub fn random_linked(&self, most: usize) -> Vec<Rc<Peer>> {
         let mut peers = self.all();
         peers.retain(|peer| peer.is_linked());
         peers.shuffle(&mut rand::rng());
--- a/crates/mesh/src/plan.rs
+++ b/crates/mesh/src/plan.rs
@@ -63,7 +63,7 @@
     /// again, if that is due soon.
     fn take_role(&self) -> Option<Duration> {
         let mut upstreams = self.linked_upstreams();
-        upstreams.retain(|peer| peer.store.get().tells());
+        upstreams.retain(|peer| peer.store.get().relays_store());
         let now = self.clock.now();
         let untold_for = self.members.note_told(!upstreams.is_empty(), now);
         let may_wait = !self.members.is_source() && self.follows();
@@ -90,9 +90,9 @@
     /// and say so to others.
     fn pass_on(&self, upstreams: &[Rc<Peer>]) {
         if self.members.is_reader() {
-            self.set_store_state(StoreState::Told);
+            self.set_store_state(StoreState::Relayed);
             for upstream in upstreams {
-                upstream.follow();
+                upstream.request_host_updates();
             }
         } else {
             self.set_store_state(StoreState::Unused);
@@ -120,7 +120,8 @@
                     reachability: peer
                         .as_ref()
                         .map_or(Reachability::Reachable, |peer| peer.reachability()),
-                    lost_store: peer.is_some_and(|peer| peer.store.get() == StoreState::Lost),
+                    lost_store: peer
+                        .is_some_and(|peer| peer.store.get() == StoreState::Disconnected),
                     is_registered: true,
                 }
             })
@@ -146,12 +147,15 @@
             .extend(canaries.filter(|id| hosts.contains_key(id)));
         for id in self.peers.ids() {
             if !plan.links.contains(&id) {
-                self.peers.release(&id);
+                self.peers.remove(&id);
             }
         }
         for id in &plan.links {
-            if let Some(peer) = hosts.get(id).and_then(|host| self.peers.link_to(host)) {
-                tokio::task::spawn_local(links::keep_linked(Rc::clone(self), peer));
+            if let Some(peer) = hosts
+                .get(id)
+                .and_then(|host| self.peers.add_or_replace(host))
+            {
+                tokio::task::spawn_local(links::maintain_link(Rc::clone(self), peer));
             }
         }
         let in_zone = others.iter().filter(|host| host.zone == own.zone).count();
--- a/crates/mesh/src/quarantine.rs
+++ b/crates/mesh/src/quarantine.rs
@@ -377,9 +377,9 @@
         shared.see_to_held_rows(&news);
     }
     let message = LinkMessage::Suspects(calls);
-    shared.peers.broadcast_to(most, &encode(&message));
-    for peer in shared.peers.some_linked(most) {
+    shared.peers.broadcast_to_random(most, &encode(&message));
+    for peer in shared.peers.random_linked(most) {
         // A link that has ended by now is told of it when it is up again.
-        let _ = peer.say(message.clone());
+        let _ = peer.send_message(message.clone());
     }
 }
--- a/crates/mesh/src/ready.rs
+++ b/crates/mesh/src/ready.rs
@@ -5,15 +5,15 @@
 use filbert_platform::READINESS_PATH;
 use tokio::net::TcpListener;
 
-use crate::small_server::{accept_for_ever, serve_requests, SmallAnswer};
+use crate::small_server::{accept_loop, serve_requests, SimpleResponse};
 use crate::state::MeshShared;
 
 /// Answers readiness checks until the process ends.
 pub async fn serve(shared: Rc<MeshShared>, listener: TcpListener) {
-    accept_for_ever("ready", listener, |stream| {
+    accept_loop("ready", listener, |stream| {
         let shared = Rc::clone(&shared);
         serve_requests(stream, move |head, _| {
-            SmallAnswer::status(if head.target.starts_with(READINESS_PATH) {
+            SimpleResponse::status(if head.target.starts_with(READINESS_PATH) {
                 readiness(&shared)
             } else {
                 404
--- a/crates/mesh/src/rollouts/spread.rs
+++ b/crates/mesh/src/rollouts/spread.rs
@@ -86,7 +86,7 @@
         }
         for upstream in self.linked_upstreams() {
             for part in tallies.chunks(MOST_TALLIES) {
-                upstream.say(LinkMessage::Tallies(part.to_vec()));
+                upstream.send_message(LinkMessage::Tallies(part.to_vec()));
             }
         }
     }
@@ -101,7 +101,7 @@
         };
         shared.peers.broadcast(&encode(&message));
         for peer in shared.peers.all() {
-            peer.say(message.clone());
+            peer.send_message(message.clone());
         }
         // Canaries are linked to by all.
         shared.members.changed.notify_one();
--- a/crates/mesh/src/rows.rs
+++ b/crates/mesh/src/rows.rs
@@ -150,20 +150,21 @@
 
 impl MeshShared {
     /// Sees to a change of a row: here, if this daemon asks the store, or by a
-    /// daemon that tells it what lies there. `is_passed_on` says whether another
+    /// daemon that tells it what lies there. `is_forwarded` says whether another
     /// daemon asked for it.
-    pub fn see_to_row(&self, change: RowChange, is_passed_on: bool) {
+    pub fn see_to_row(&self, change: RowChange, is_forwarded: bool) {
         // One that asks the store itself first, else one that is told.
         let upstream = self
             .linked_upstreams()
             .into_iter()
             .filter(|upstream| upstream.store.get().is_current())
-            .min_by_key(|upstream| upstream.store.get() == StoreState::Told);
-        let message = LinkMessage::WantRow {
+            .min_by_key(|upstream| upstream.store.get() == StoreState::Relayed);
+        let message = LinkMessage::RequestRowChange {
             change: change.clone(),
-            is_passed_on,
+            is_forwarded,
         };
-        let is_seen_to = self.follows() && upstream.is_some_and(|upstream| upstream.say(message));
+        let is_seen_to =
+            self.follows() && upstream.is_some_and(|upstream| upstream.send_message(message));
         if !is_seen_to {
             self.members.rows.want(change);
         }
--- a/crates/mesh/src/serve_peers.rs
+++ b/crates/mesh/src/serve_peers.rs
@@ -15,7 +15,7 @@
 
 use crate::body::{next_data, AnswerBody, CallBody, LinkBody, PieceSource};
 use crate::links::{LinkError, CONNECTION_WINDOW, STREAM_WINDOW};
-use crate::messages::{encode, take, CallHead, ReplyHead};
+use crate::messages::{decode_next, encode, CallHead, ReplyHead};
 use crate::sockets;
 use crate::state::MeshShared;
 use crate::stop::CallMark;
@@ -54,7 +54,7 @@
 }
 
 async fn serve_link(shared: Rc<MeshShared>, stream: TcpStream) -> Result<(), LinkError> {
-    sockets::watch_silence(&stream);
+    sockets::set_socket_options(&stream);
     let mut connection = h2::server::Builder::new()
         .initial_window_size(STREAM_WINDOW)
         .initial_connection_window_size(CONNECTION_WINDOW)
@@ -91,7 +91,7 @@
     let mut incoming = request.into_body();
     let mut buffer = BytesMut::new();
     let call: CallHead = loop {
-        if let Some(call) = take(&mut buffer).map_err(|_| LinkError::Frame)? {
+        if let Some(call) = decode_next(&mut buffer).map_err(|_| LinkError::Frame)? {
             break call;
         }
         match next_data(&mut incoming).await {
@@ -99,7 +99,7 @@
             None => return Err(LinkError::Ended),
         }
     };
-    let due = shared.clock.now() + Duration::from_micros(call.left_us);
+    let due = shared.clock.now() + Duration::from_micros(call.deadline_us);
     let work = async {
         let body = read_body(&call, incoming, buffer).await?;
         let link = shared.gate.link_time(&call);
@@ -182,7 +182,7 @@
                     let left = length.unwrap_or(0).saturating_sub(sent).max(bytes);
                     shared.egress.pace(bytes, left, due).await;
                     sent += bytes;
-                    send_piece(outgoing, part).await?;
+                    send_body_data(outgoing, part).await?;
                 }
             }
             Ok(None) => {
@@ -203,7 +203,7 @@
 ///
 /// # Errors
 /// [`LinkError`] when the stream or its connection ended.
-pub async fn send_piece(
+pub async fn send_body_data(
     outgoing: &mut SendStream<Bytes>,
     mut piece: Bytes,
 ) -> Result<(), LinkError> {
--- a/crates/mesh/src/serve_peers/news.rs
+++ b/crates/mesh/src/serve_peers/news.rs
@@ -9,7 +9,7 @@
 
 use crate::body::next_data;
 use crate::links::{LinkError, NEWS_PATH};
-use crate::messages::{encode, take, BadMessage, LinkMessage, PeerAddress, RowChange};
+use crate::messages::{decode_next, encode, BadMessage, LinkMessage, PeerAddress, RowChange};
 use crate::organisations::tokens;
 use crate::state::MeshShared;
 use crate::versions::UntoldSteps;
@@ -36,7 +36,7 @@
     let own = shared.own_address();
     if to != own.id {
         log::info!("event=host_meant_not_here host={to} from={}", from.id);
-        outgoing.send_data(encode(&LinkMessage::NotHere(own)), true)?;
+        outgoing.send_data(encode(&LinkMessage::WrongHost(own)), true)?;
         return Ok(());
     }
     let mut feed = shared.peers.watch(&from);
@@ -50,14 +50,14 @@
     loop {
         tokio::select! {
             message = next_message(&mut incoming, &mut buffer) => match message? {
-                Some(LinkMessage::Follow) => {
+                Some(LinkMessage::RequestHostUpdates) => {
                     feed.follows.set(true);
                     if shared.store_state().is_current() {
-                        let sum = LinkMessage::MembersSum(shared.members_sum());
+                        let sum = LinkMessage::MembersChecksum(shared.members_checksum());
                         outgoing.send_data(encode(&sum), false)?;
                     }
                 }
-                Some(LinkMessage::RenewPool) => feed.renewed.set(Some(shared.clock.now())),
+                Some(LinkMessage::RenewPoolLease) => feed.renewed.set(Some(shared.clock.now())),
                 Some(message) => {
                     if let Some(answer) = answer_to(&shared, message) {
                         outgoing.send_data(encode(&answer), false)?;
@@ -80,7 +80,7 @@
     buffer: &mut BytesMut,
 ) -> Result<Option<LinkMessage>, LinkError> {
     loop {
-        if let Some(message) = take(buffer).map_err(|_| LinkError::Frame)? {
+        if let Some(message) = decode_next(buffer).map_err(|_| LinkError::Frame)? {
             return Ok(Some(message));
         }
         match next_data(incoming).await {
@@ -100,7 +100,7 @@
         },
     ];
     if store.is_current() && zone == shared.settings.borrow().zone {
-        news.push(LinkMessage::MembersSum(shared.members_sum()));
+        news.push(LinkMessage::MembersChecksum(shared.members_checksum()));
     }
     news.push(LinkMessage::Store(store));
     news.extend(shared.version_age());
@@ -108,7 +108,7 @@
     news.extend(shared.all_rollouts());
     // A restarted daemon that cannot reach the store learns here whom to call.
     if !shared.members.is_known.get() {
-        news.push(LinkMessage::WantMembers);
+        news.push(LinkMessage::RequestMembers);
     }
     news
 }
@@ -126,7 +126,7 @@
 
 fn answer_to(shared: &Rc<MeshShared>, message: LinkMessage) -> Option<LinkMessage> {
     match message {
-        LinkMessage::WantVersion { have, or_whole } => {
+        LinkMessage::RequestVersion { have, or_whole } => {
             let versions = &shared.versions;
             Some(match versions.steps_from(have) {
                 Ok(steps) => LinkMessage::Steps { steps },
@@ -134,11 +134,11 @@
                     deflated: versions.deflated().to_vec(),
                 },
                 Err(untold) => LinkMessage::NoSteps {
-                    are_heavy: untold == UntoldSteps::Heavy,
+                    are_too_large: untold == UntoldSteps::Heavy,
                 },
             })
         }
-        LinkMessage::WantMembers => Some(shared.member_list()),
+        LinkMessage::RequestMembers => Some(shared.member_list()),
         LinkMessage::Members(list) if !shared.members.is_known.get() => {
             match list.unpack() {
                 Ok(hosts) => shared.take_members(hosts, "hello"),
@@ -146,14 +146,14 @@
             }
             None
         }
-        LinkMessage::WantRow {
+        LinkMessage::RequestRowChange {
             change,
-            is_passed_on,
+            is_forwarded,
         } => {
             if let RowChange::Write(address) = &change {
                 shared.learn_host(address.clone(), "hello");
             }
-            if is_passed_on {
+            if is_forwarded {
                 shared.members.rows.want(change);
             } else {
                 shared.see_to_row(change, true);
@@ -172,24 +172,24 @@
             shared.hear_tallies(tallies);
             None
         }
-        LinkMessage::WantTokens {
+        LinkMessage::RequestTokens {
             ask,
             organisation,
             wanted,
         } => Some(tokens::answer(shared, ask, &organisation, wanted)),
-        LinkMessage::WantClock { asked_us } => shared.store_clock(asked_us),
+        LinkMessage::RequestClock { asked_us } => shared.store_clock(asked_us),
         LinkMessage::Hello { .. }
-        | LinkMessage::NotHere(_)
-        | LinkMessage::Follow
-        | LinkMessage::RenewPool
-        | LinkMessage::VersionAge(_)
+        | LinkMessage::WrongHost(_)
+        | LinkMessage::RequestHostUpdates
+        | LinkMessage::RenewPoolLease
+        | LinkMessage::VersionConfirmation(_)
         | LinkMessage::StoreClock { .. }
-        | LinkMessage::Tokens { .. }
+        | LinkMessage::GrantTokens { .. }
         | LinkMessage::Members(_)
-        | LinkMessage::MembersSum(_)
+        | LinkMessage::MembersChecksum(_)
         | LinkMessage::HostsChanged(_)
         | LinkMessage::Store(_)
-        | LinkMessage::HeavyVersion
+        | LinkMessage::OversizedVersion
         | LinkMessage::Target(_)
         | LinkMessage::InForce { .. }
         | LinkMessage::Steps { .. }
--- a/crates/mesh/src/shell.rs
+++ b/crates/mesh/src/shell.rs
@@ -23,7 +23,7 @@
 use crate::members::MemberBook;
 use crate::metrics::MeshMetrics;
 use crate::organisations::OrganisationDesk;
-use crate::peers::PeerBook;
+use crate::peers::PeerTable;
 use crate::quarantine::{self, SharedQuarantine};
 use crate::rollouts::{self, RolloutBook};
 use crate::settings::MeshSettings;
@@ -131,7 +131,7 @@
         settings: RefCell::new(Rc::new(settings)),
         versions: VersionBook::default(),
         members: MemberBook::default(),
-        peers: PeerBook::default(),
+        peers: PeerTable::default(),
         egress,
         gate,
         quarantine,
--- a/crates/mesh/src/small_server.rs
+++ b/crates/mesh/src/small_server.rs
@@ -20,7 +20,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Takes connections until the process ends and serves each in a task.
-pub async fn accept_for_ever<F>(
+pub async fn accept_loop<F>(
     port: &'static str,
     listener: TcpListener,
     serve: impl Fn(TcpStream) -> F,
@@ -40,7 +40,7 @@
     }
 }
 
-fn answer_bytes(answer: &SmallAnswer, keep_alive: bool) -> Vec<u8> {
+fn answer_bytes(answer: &SimpleResponse, keep_alive: bool) -> Vec<u8> {
     let connection = if keep_alive { "keep-alive" } else { "close" };
     format!(
         "HTTP/1.1 {} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\nConnection: {connection}\r\n\r\n{}",
@@ -63,7 +63,7 @@
 }
 
 /// What a small listener answers.
-pub struct SmallAnswer {
+pub struct SimpleResponse {
     /// The status.
     pub status: u16,
     /// The type of the body.
@@ -72,11 +72,11 @@
     pub body: String,
 }
 
-impl SmallAnswer {
+impl SimpleResponse {
     /// An answer without a body.
     #[must_use]
-    pub fn status(status: u16) -> SmallAnswer {
-        SmallAnswer {
+    pub fn status(status: u16) -> SimpleResponse {
+        SimpleResponse {
             status,
             content_type: "text/plain",
             body: String::new(),
@@ -87,16 +87,16 @@
 /// Answers the requests of one connection until it ends.
 pub async fn serve_requests(
     stream: TcpStream,
-    answer: impl Fn(&RequestHead, &[u8]) -> SmallAnswer,
+    answer: impl Fn(&RequestHead, &[u8]) -> SimpleResponse,
 ) {
-    sockets::watch_silence(&stream);
+    sockets::set_socket_options(&stream);
     // Whoever asks comes again; the end of one connection says nothing.
     let _ = tokio::time::timeout(LONGEST, serve_each(stream, answer)).await;
 }
 
 async fn serve_each(
     stream: TcpStream,
-    answer: impl Fn(&RequestHead, &[u8]) -> SmallAnswer,
+    answer: impl Fn(&RequestHead, &[u8]) -> SimpleResponse,
 ) -> Result<(), ()> {
     let (read, mut write) = stream.into_split();
     let mut reader = MessageReader::new(read);
--- a/crates/mesh/src/sockets.rs
+++ b/crates/mesh/src/sockets.rs
@@ -21,7 +21,7 @@
 const BACKLOG: u32 = 1024;
 
 /// Sets the probes and limits on a connection.
-pub fn watch_silence(stream: &TcpStream) {
+pub fn set_socket_options(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
         .with_time(PROBE_EVERY)
@@ -45,7 +45,7 @@
     let stream = tokio::time::timeout(timeout, TcpStream::connect(address))
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-    watch_silence(&stream);
+    set_socket_options(&stream);
     Ok(stream)
 }
 
--- a/crates/mesh/src/state.rs
+++ b/crates/mesh/src/state.rs
@@ -23,7 +23,7 @@
 use crate::messages::PeerAddress;
 use crate::metrics::{CrossingCause, MeshMetrics};
 use crate::organisations::OrganisationDesk;
-use crate::peers::{Peer, PeerBook};
+use crate::peers::{Peer, PeerTable};
 use crate::quarantine::SharedQuarantine;
 use crate::rollouts::RolloutBook;
 use crate::settings::MeshSettings;
@@ -57,7 +57,7 @@
     /// Which hosts there are.
     pub members: MemberBook,
     /// The daemons that this one links to.
-    pub peers: PeerBook,
+    pub peers: PeerTable,
     /// The way out of this host.
     pub egress: Rc<EgressPacer>,
     /// The way to the target beside this daemon.
@@ -182,7 +182,7 @@
 
     /// Usual time of a run on `route`; `None` before the first.
     #[must_use]
-    pub fn usual_run(&self, route: &str) -> Option<RunTime> {
+    pub fn expected_run_time(&self, route: &str) -> Option<RunTime> {
         self.routes.borrow().get(route)?.run.time()
     }
 
--- a/crates/mesh/src/status.rs
+++ b/crates/mesh/src/status.rs
@@ -31,7 +31,7 @@
     let mut far: Option<TargetStatus> = None;
     loop {
         tokio::select! {
-            () = tokio::time::sleep(load_pause(shared.peers.watchers())) => {}
+            () = tokio::time::sleep(load_pause(shared.peers.subscriber_count())) => {}
             () = shared.gate.changed.notified() => {}
         }
         let status = shared.gate.status();
@@ -103,8 +103,8 @@
         || told.load.slots != status.load.slots
 }
 
-fn load_pause(watchers: usize) -> Duration {
-    LOAD_EVERY.mul_f64(count_to_f64(watchers.max(TOLD_OFTEN)) / count_to_f64(TOLD_OFTEN))
+fn load_pause(subscriber_count: usize) -> Duration {
+    LOAD_EVERY.mul_f64(count_to_f64(subscriber_count.max(TOLD_OFTEN)) / count_to_f64(TOLD_OFTEN))
 }
 
 fn is_worth_telling(told: Option<&TargetStatus>, status: Option<&TargetStatus>) -> bool {
--- a/crates/mesh/src/versions.rs
+++ b/crates/mesh/src/versions.rs
@@ -43,7 +43,7 @@
         let text = shared.versions.text().len();
         let usual = encoded_length(text) + AROUND_TEXT;
         if text > 0 && length > usual + encoded_length(MOST_TOLD) && shared.members.is_reader() {
-            shared.tell_followers(&LinkMessage::HeavyVersion);
+            shared.tell_followers(&LinkMessage::OversizedVersion);
         }
     }
 }
