--- a/crates/mesh/src/messages.rs
+++ b/crates/mesh/src/messages.rs
@@ -194,7 +194,7 @@
     /// The receiver should grant tokens for calls.
     RequestTokens {
         /// Names the question.
-        ask: u64,
+        request_id: u64,
         /// The organisation whose calls they are for.
         organisation: String,
         /// How many at most.
@@ -203,7 +203,7 @@
     /// What the sender's pool grants.
     GrantTokens {
         /// The question.
-        ask: u64,
+        request_id: u64,
         /// How many.
         granted: u32,
         /// Microseconds until the next one, when there is none.
--- a/crates/mesh/src/news.rs
+++ b/crates/mesh/src/news.rs
@@ -290,11 +290,11 @@
             shared.hear_clock(era, Duration::from_micros(latest_us), asked);
         }
         LinkMessage::GrantTokens {
-            ask,
+            request_id,
             granted,
             next_token_in_us,
         } => shared.organisations.hear_grant(
-            ask,
+            request_id,
             TokenGrant {
                 tokens: granted,
                 next_token_in: Duration::from_micros(next_token_in_us),
--- a/crates/mesh/src/organisations/tokens.rs
+++ b/crates/mesh/src/organisations/tokens.rs
@@ -259,18 +259,18 @@
     }
 
     async fn ask_peer(&self, peer: &Peer, organisation: &str, wanted: u32) -> Option<TokenGrant> {
-        let (ask, answer) = self.organisations.begin_ask();
+        let (request_id, answer) = self.organisations.begin_ask();
         let message = LinkMessage::RequestTokens {
-            ask,
+            request_id,
             organisation: organisation.to_owned(),
             wanted,
         };
         if !peer.send_message(message) {
-            self.organisations.end_ask(ask);
+            self.organisations.end_ask(request_id);
             return None;
         }
         let answer = tokio::time::timeout(ANSWER_WITHIN, answer).await;
-        self.organisations.end_ask(ask);
+        self.organisations.end_ask(request_id);
         answer.ok()?.ok()
     }
 
@@ -319,21 +319,21 @@
     }
 
     fn begin_ask(&self) -> (u64, oneshot::Receiver<TokenGrant>) {
-        let ask = self.next_ask.get();
-        self.next_ask.set(ask + 1);
+        let request_id = self.next_ask.get();
+        self.next_ask.set(request_id + 1);
         let (sender, answer) = oneshot::channel();
-        self.asked.borrow_mut().insert(ask, sender);
-        (ask, answer)
+        self.asked.borrow_mut().insert(request_id, sender);
+        (request_id, answer)
     }
 
-    fn end_ask(&self, ask: u64) {
-        self.asked.borrow_mut().remove(&ask);
+    fn end_ask(&self, request_id: u64) {
+        self.asked.borrow_mut().remove(&request_id);
     }
 
-    /// Takes another daemon's answer to question `ask`. One that comes too late
+    /// Takes another daemon's answer to question `request_id`. One that comes too late
     /// is lost, and its tokens with it.
-    pub fn hear_grant(&self, ask: u64, grant: TokenGrant) {
-        let waiting = self.asked.borrow_mut().remove(&ask);
+    pub fn hear_grant(&self, request_id: u64, grant: TokenGrant) {
+        let waiting = self.asked.borrow_mut().remove(&request_id);
         if let Some(waiting) = waiting {
             // Whoever asked may have given up in this moment.
             let _ = waiting.send(grant);
@@ -343,14 +343,19 @@
 
 /// The answer of this daemon's pool to another daemon.
 #[must_use]
-pub fn answer(shared: &MeshShared, ask: u64, organisation: &str, wanted: u32) -> LinkMessage {
+pub fn answer(
+    shared: &MeshShared,
+    request_id: u64,
+    organisation: &str,
+    wanted: u32,
+) -> LinkMessage {
     let grant = if shared.members.is_reader() {
         shared.grant_tokens(organisation, wanted)
     } else {
         NOTHING
     };
     LinkMessage::GrantTokens {
-        ask,
+        request_id,
         granted: grant.tokens,
         next_token_in_us: to_micros(grant.next_token_in),
     }
--- a/crates/mesh/src/serve_peers/news.rs
+++ b/crates/mesh/src/serve_peers/news.rs
@@ -173,10 +173,10 @@
             None
         }
         LinkMessage::RequestTokens {
-            ask,
+            request_id,
             organisation,
             wanted,
-        } => Some(tokens::answer(shared, ask, &organisation, wanted)),
+        } => Some(tokens::answer(shared, request_id, &organisation, wanted)),
         LinkMessage::RequestClock { asked_us } => shared.store_clock(asked_us),
         LinkMessage::Hello { .. }
         | LinkMessage::WrongHost(_)
