--- a/crates/mesh/src/peers.rs
+++ b/crates/mesh/src/peers.rs
@@ -1,7 +1,7 @@
 //! The daemons that this one links to: the links, and the targets beside them;
 //! and those that link here and want news.
 
-mod book;
+mod table;
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -19,7 +19,7 @@
     to_micros, LinkMessage, PeerAddress, StoreState, TargetLoad, TargetState, TargetStatus,
 };
 
-pub use book::{NewsFeed, PeerTable};
+pub use table::{NewsFeed, PeerTable};
 
 /// Leaving instances remembered for a host: more than one is replaced there
 /// only in a long time.
