--- a/crates/mesh/src/links.rs
+++ b/crates/mesh/src/links.rs
@@ -1,5 +1,5 @@
-//! The dialing side of the links: one `h2` connection to each other daemon,
-//! which carries this daemon's calls, and one long stream on it for news.
+//! The dialing side of links. A link is an HTTP/2 connection to another daemon. It
+//! carries this daemon's calls, a stream each, and one long-lived news stream.
 
 use std::cell::Cell;
 use std::fmt;
@@ -19,66 +19,71 @@
 use crate::sockets;
 use crate::state::MeshShared;
 
-/// Path of a call's stream.
+/// URL of the streams that carry calls.
 pub const CALL_PATH: &str = "http://peer/call";
-/// Path of the stream for news.
+/// URL of the news stream.
 pub const NEWS_PATH: &str = "http://peer/news";
-/// HTTP/2 window of a stream, in bytes: a large answer keeps flowing over the
-/// round trip between zones.
+/// HTTP/2 flow-control window of a stream, in bytes. It is large enough that a
+/// large answer keeps flowing over the round trip between zones.
 pub const STREAM_WINDOW: u32 = 256 * 1024;
-/// HTTP/2 window of a connection, in bytes.
+/// HTTP/2 flow-control window of a connection, in bytes.
 pub const CONNECTION_WINDOW: u32 = 2 * 1024 * 1024;
-/// Time to connect and complete the HTTP/2 handshake.
+/// Timeout of each step of opening a link: the TCP connection, the HTTP/2
+/// handshake, and the response to the news stream's request.
 pub const OPEN_TIMEOUT: Duration = Duration::from_millis(600);
-/// Pauses between attempts to link: the first and the longest.
-const FIRST_PAUSE: Duration = Duration::from_millis(60);
-const LONGEST_PAUSE: Duration = Duration::from_millis(600);
-/// Pause between PINGs.
-const PING_EVERY: Duration = Duration::from_secs(1);
-/// A PING unanswered for this long makes the link doubtful: calls go
-/// elsewhere. A host that has its processor for a fifth of each tenth of a
-/// second still answers in time.
-const PING_DOUBT: Duration = Duration::from_millis(250);
-/// Further time after which the link is given up.
-const PING_SILENCE: Duration = Duration::from_millis(900);
-/// Longest time without a PING, also while the other side is heard: it may be
-/// heard and not hear.
-const PING_AT_LEAST: Duration = Duration::from_secs(3);
-/// Time without a link after which a host counts as failing, and another is
-/// linked to in its place: a restart takes less.
-const FAILING_AFTER: Duration = Duration::from_millis(600);
+/// First delay before a failed link is dialed again; it doubles with each failure.
+const MIN_REDIAL_DELAY: Duration = Duration::from_millis(60);
+/// Maximum delay before a failed link is dialed again.
+const MAX_REDIAL_DELAY: Duration = Duration::from_millis(600);
+/// Time without received data after which a PING is sent.
+const PING_INTERVAL: Duration = Duration::from_secs(1);
+/// Time without a response to a PING, or any other data, after which the peer
+/// counts as unresponsive and calls go to other hosts. A host that gets its CPU
+/// for 20 ms of every 100 ms still responds in time.
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(250);
+/// Further time without a response to the PING after which the link is closed.
+const PING_TIMEOUT: Duration = Duration::from_millis(900);
+/// Maximum time between two PINGs while data arrives. Received data does not show
+/// that the peer receives what is sent to it.
+const MAX_PING_INTERVAL: Duration = Duration::from_secs(3);
+/// Time without a link after which a host counts as unreachable and is replaced by
+/// another in the plan of links. A daemon restarts within this time.
+const UNREACHABLE_AFTER: Duration = Duration::from_millis(600);
+
 /// Why a link ended.
 #[derive(Debug)]
 pub enum LinkError {
-    /// The address is none.
-    Address,
-    /// The connection could not be opened in time.
-    Open,
-    /// HTTP/2 failed.
+    /// The peer's address cannot be parsed.
+    InvalidAddress,
+    /// The connection or the news stream could not be opened in time.
+    ConnectFailed,
+    /// An HTTP/2 error occurred.
     Protocol(h2::Error),
-    /// The bytes were not messages.
-    Frame,
-    /// A PING was not answered in time.
-    Silent,
-    /// The other side ended the stream.
-    Ended,
-    /// The host moved or was removed.
-    Dropped,
-    /// The host's address is another's now.
-    Replaced,
+    /// The received bytes are not a valid message.
+    InvalidMessage,
+    /// No response to a PING arrived in time.
+    PingTimeout,
+    /// The other side closed the stream or the connection.
+    Closed,
+    /// The host's address changed, or the link is not in the plan any more.
+    PeerRemoved,
+    /// The host's address belongs to another host now.
+    HostReplaced,
 }
 
 impl fmt::Display for LinkError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            LinkError::Address => formatter.write_str("not an address"),
-            LinkError::Open => formatter.write_str("could not open the connection in time"),
+            LinkError::InvalidAddress => formatter.write_str("not an address"),
+            LinkError::ConnectFailed => {
+                formatter.write_str("could not open the connection in time")
+            }
             LinkError::Protocol(error) => write!(formatter, "http/2: {error}"),
-            LinkError::Frame => formatter.write_str("bad message"),
-            LinkError::Silent => formatter.write_str("no answer to a ping"),
-            LinkError::Ended => formatter.write_str("closed by the other side"),
-            LinkError::Replaced => formatter.write_str("another host answers there"),
-            LinkError::Dropped => formatter.write_str("host moved or removed"),
+            LinkError::InvalidMessage => formatter.write_str("bad message"),
+            LinkError::PingTimeout => formatter.write_str("no answer to a ping"),
+            LinkError::Closed => formatter.write_str("closed by the other side"),
+            LinkError::HostReplaced => formatter.write_str("another host answers there"),
+            LinkError::PeerRemoved => formatter.write_str("host moved or removed"),
         }
     }
 }
@@ -91,23 +96,24 @@
     }
 }
 
-/// Keeps a link to `peer` for as long as it is wanted.
+/// Dials `peer`, and dials it again after each failure, until the peer is removed
+/// from the table of peers.
 pub async fn maintain_link(shared: Rc<MeshShared>, peer: Rc<Peer>) {
-    let mut pause = FIRST_PAUSE;
+    let mut redial_delay = MIN_REDIAL_DELAY;
     let mut down_since = shared.clock.now();
-    while !peer.is_dropped.get() {
+    while !peer.is_removed.get() {
         let was_up = Cell::new(false);
-        let end = link(&shared, &peer, &was_up).await;
+        let end = run_link(&shared, &peer, &was_up).await;
         peer.reset();
         let now = shared.clock.now();
         if was_up.get() {
-            pause = FIRST_PAUSE;
+            redial_delay = MIN_REDIAL_DELAY;
             down_since = now;
             shared.link_went_down(&peer.address.id);
             log::info!("event=link_down peer={} reason=\"{end}\"", peer.address.id);
         } else {
-            pause = (pause * 2).min(LONGEST_PAUSE);
-            if now >= down_since + FAILING_AFTER && !peer.is_failing.replace(true) {
+            redial_delay = (redial_delay * 2).min(MAX_REDIAL_DELAY);
+            if now >= down_since + UNREACHABLE_AFTER && !peer.is_unreachable.replace(true) {
                 shared.members.changed.notify_one();
                 log::info!(
                     "event=peer_failing peer={} reason=\"{end}\"",
@@ -115,50 +121,53 @@
                 );
             }
         }
-        // Spread, so that a herd that was cut off does not return in step.
-        let spread = rand::rng().random_range(0.5..1.5);
+        // Jitter keeps daemons that lost their links together from redialing at the
+        // same moment.
+        let jitter = rand::rng().random_range(0.5..1.5);
         tokio::select! {
-            () = tokio::time::sleep(pause.mul_f64(spread)) => {}
-            () = peer.nudge.notified() => {}
+            () = tokio::time::sleep(redial_delay.mul_f64(jitter)) => {}
+            () = peer.dial_now.notified() => {}
         }
     }
 }
 
-async fn link(shared: &Rc<MeshShared>, peer: &Rc<Peer>, was_up: &Cell<bool>) -> LinkError {
-    match open(peer).await {
+/// Opens a link and runs it until it ends; returns why it ended.
+async fn run_link(shared: &Rc<MeshShared>, peer: &Rc<Peer>, was_up: &Cell<bool>) -> LinkError {
+    match connect(peer).await {
         Ok((sender, connection)) => {
-            let (pings, ended) = drive(connection);
-            let news = news::follow(shared, peer, sender, was_up);
+            let (pings, ended) = spawn_connection(connection);
+            let news = news::run_news_stream(shared, peer, sender, was_up);
             tokio::select! {
-                end = ended => end.unwrap_or(LinkError::Ended),
-                end = check_silence(shared, peer, pings) => end,
+                end = ended => end.unwrap_or(LinkError::Closed),
+                end = monitor_liveness(shared, peer, pings) => end,
                 end = news => end,
-                () = until_done(peer) => LinkError::Dropped,
+                () = wait_until_closable(peer) => LinkError::PeerRemoved,
             }
         }
         Err(error) => error,
     }
 }
 
-/// Guards against calls that are cut because their link is not wanted any
-/// more: it ends with the last of them.
-async fn until_done(peer: &Peer) {
-    while !peer.is_done() {
-        peer.unused.notified().await;
+/// Waits until the peer is removed and the last call on its link has ended.
+///
+/// Closing the link earlier would cut off the calls on it.
+async fn wait_until_closable(peer: &Peer) {
+    while !peer.is_closable() {
+        peer.became_idle.notified().await;
     }
 }
 
 type LinkConnection = h2::client::Connection<tokio::net::TcpStream, Bytes>;
 
-async fn open(peer: &Peer) -> Result<(SendRequest<Bytes>, LinkConnection), LinkError> {
+async fn connect(peer: &Peer) -> Result<(SendRequest<Bytes>, LinkConnection), LinkError> {
     let address: SocketAddr = peer
         .address
         .address
         .parse()
-        .map_err(|_| LinkError::Address)?;
+        .map_err(|_| LinkError::InvalidAddress)?;
     let stream = sockets::connect(address, OPEN_TIMEOUT)
         .await
-        .map_err(|_| LinkError::Open)?;
+        .map_err(|_| LinkError::ConnectFailed)?;
     let handshake = h2::client::Builder::new()
         .initial_window_size(STREAM_WINDOW)
         .initial_connection_window_size(CONNECTION_WINDOW)
@@ -166,48 +175,56 @@
         .handshake(stream);
     tokio::time::timeout(OPEN_TIMEOUT, handshake)
         .await
-        .map_err(|_| LinkError::Open)?
+        .map_err(|_| LinkError::ConnectFailed)?
         .map_err(LinkError::Protocol)
 }
 
-/// Moves the connection's bytes until nothing uses it any more; the way to
-/// check that the other side still answers, and how the connection ends.
+/// Runs the connection in a task of its own, which ends when nothing uses the
+/// connection any more. Returns the handle for PINGs and a receiver of the reason
+/// for the connection's end.
 ///
-/// Guards against calls that are cut with a link that was given up: a host
-/// that is slow for a second still answers what it has, while new calls go
-/// elsewhere and a new link is made.
-fn drive(mut connection: LinkConnection) -> (Option<PingPong>, oneshot::Receiver<LinkError>) {
+/// The task outlives a link that was given up, so that the calls on it are not cut
+/// off: a host that stalls for a second still answers the calls that it has, while
+/// new calls go to other hosts and a new link is opened.
+fn spawn_connection(
+    mut connection: LinkConnection,
+) -> (Option<PingPong>, oneshot::Receiver<LinkError>) {
     let pings = connection.ping_pong();
     let (sender, ended) = oneshot::channel();
     tokio::task::spawn_local(async move {
         let end = match connection.await {
-            Ok(()) => LinkError::Ended,
+            Ok(()) => LinkError::Closed,
             Err(error) => LinkError::Protocol(error),
         };
-        // Nobody listens any more where the link was given up before.
+        // The receiver is gone if the link was given up before.
         let _ = sender.send(end);
     });
     (pings, ended)
 }
 
-/// Guards against a connection that went silent for good, or a host that was
-/// cut off: calls on it would hang until their deadlines while other hosts
-/// work. A call without an answer asks for a PING at once, so that the silence
-/// shows within half a second.
-async fn check_silence(shared: &MeshShared, peer: &Peer, pings: Option<PingPong>) -> LinkError {
+/// Sends PINGs and marks the peer as unresponsive while they get no response;
+/// returns once the link is dead.
+///
+/// Without these checks, calls to a host that is cut off or on a dead connection
+/// would hang until their deadlines, although other hosts could run them. A call
+/// without an answer requests a PING at once, so that a dead link is detected
+/// within half a second.
+async fn monitor_liveness(shared: &MeshShared, peer: &Peer, pings: Option<PingPong>) -> LinkError {
     let Some(mut pings) = pings else {
-        return LinkError::Ended;
+        return LinkError::Closed;
     };
     peer.record_received(shared.clock.now());
     let mut last_ping = shared.clock.now();
     loop {
-        let is_doubted = tokio::select! {
-            () = tokio::time::sleep(peer.quiet_until(PING_EVERY, shared.clock.now())) => false,
-            () = peer.doubted.notified() => true,
+        let is_requested = tokio::select! {
+            () = tokio::time::sleep(
+                peer.time_until_idle(PING_INTERVAL, shared.clock.now())
+            ) => false,
+            () = peer.ping_requested.notified() => true,
         };
         let now = shared.clock.now();
-        let is_heard = peer.heard_within(now, PING_EVERY);
-        if !is_doubted && is_heard && now < last_ping + PING_AT_LEAST {
+        let is_receiving = peer.received_within(now, PING_INTERVAL);
+        if !is_requested && is_receiving && now < last_ping + MAX_PING_INTERVAL {
             continue;
         }
         last_ping = now;
@@ -219,12 +236,12 @@
             peer.mark_unresponsive();
             shared.members.changed.notify_one();
             log::info!("event=link_silent peer={}", peer.address.id);
-            match tokio::time::timeout(PING_SILENCE, pong).await {
+            match tokio::time::timeout(PING_TIMEOUT, pong).await {
                 Ok(answer) => {
                     shared.members.changed.notify_one();
                     answer
                 }
-                Err(_) => return LinkError::Silent,
+                Err(_) => return LinkError::PingTimeout,
             }
         };
         match answer {
@@ -234,20 +251,20 @@
     }
 }
 
-/// Waits for the answer to a PING for as long as that, or anything else, comes
-/// within [`PING_DOUBT`]; `None` when nothing does.
+/// Waits for the response to a PING. Returns `None` as soon as neither the response
+/// nor any other data has arrived for [`UNRESPONSIVE_AFTER`].
 ///
-/// Guards against a slow link that is busy with a long answer being taken for
-/// a dead one: the PING's answer comes behind it.
+/// Other data counts because the response queues behind a long answer: a slow link
+/// that is busy with one would otherwise be taken for dead.
 async fn await_pong<P, O>(shared: &MeshShared, peer: &Peer, pong: &mut P) -> Option<O>
 where
     P: Future<Output = O> + Unpin,
 {
     loop {
-        if let Ok(answer) = tokio::time::timeout(PING_DOUBT, &mut *pong).await {
+        if let Ok(answer) = tokio::time::timeout(UNRESPONSIVE_AFTER, &mut *pong).await {
             return Some(answer);
         }
-        if !peer.heard_within(shared.clock.now(), PING_DOUBT) {
+        if !peer.received_within(shared.clock.now(), UNRESPONSIVE_AFTER) {
             return None;
         }
     }
--- a/crates/mesh/src/messages.rs
+++ b/crates/mesh/src/messages.rs
@@ -1,4 +1,4 @@
-//! What daemons say to each other: `bincode` messages, each behind its length.
+//! Messages between daemons: `bincode` bodies, each prefixed with its length.
 
 mod calls;
 mod hosts;
@@ -20,76 +20,78 @@
 pub use hosts::{HostChanges, HostList, RowChange};
 pub use organisations::VersionConfirmation;
 
-/// Longest message, in bytes: a version of a few thousand routes fits.
-const MAX_MESSAGE: usize = 16 * 1024 * 1024;
-/// Bytes of the length before each message.
-const LENGTH_BYTES: usize = 4;
+/// Maximum size of a message body, in bytes. A version of a few thousand routes
+/// fits.
+const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
+/// Size of the length prefix of each message, in bytes.
+const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// Where a daemon is found.
+/// Identity and address of a daemon.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerAddress {
-    /// The host's name.
+    /// Name of the daemon's host.
     pub id: String,
-    /// Where its daemon takes links, `IP:PORT`.
+    /// Address at which the daemon accepts links, as `IP:PORT`.
     pub address: String,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: String,
-    /// The service of the target beside it, by its settings.
+    /// Service of the target on the host, according to the daemon's settings.
     pub service: String,
 }
 
-/// Whether a target takes calls.
+/// Whether a target accepts calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TargetState {
-    /// It does.
+    /// The target accepts calls.
     Open,
-    /// It is about to leave; only where there is no other.
+    /// The target is about to shut down. It is only used if no open target is
+    /// available.
     Leaving,
-    /// It does not.
+    /// The target accepts no calls.
     Closed,
 }
 
-/// A target as the daemon beside it describes it.
+/// Status of a target, as reported by the daemon on the same host.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TargetStatus {
-    /// Its service.
+    /// Service that the target provides.
     pub service: String,
-    /// The version of its software.
+    /// Version of the target's software.
     pub software: String,
-    /// Which start of it.
+    /// Instance of the target; each start of the target is a new instance.
     pub instance: InstanceKey,
-    /// Whether it takes calls.
+    /// Whether the target accepts calls.
     pub state: TargetState,
-    /// Whether it is still slow from its start.
+    /// Whether the target is still warming up after its start.
     pub is_cold: bool,
-    /// Its load.
+    /// Load of the target.
     pub load: TargetLoad,
 }
 
-/// How busy and how well a target is.
+/// Load and health of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TargetLoad {
-    /// Calls it can run at once.
+    /// Maximum number of calls that the target runs concurrently.
     pub slots: u32,
-    /// Calls it runs.
+    /// Number of calls that the target is running.
     pub running: u32,
-    /// Calls that wait for it.
+    /// Number of calls queued for the target.
     pub waiting: u32,
-    /// Mean time of the runs under way, in milliseconds.
+    /// Mean run time of the calls at the target, in milliseconds.
     pub run_ms: f64,
-    /// How much longer than usual runs of all kinds take; 1 when usual.
+    /// Ratio of current to usual run times over all routes; 1 means no slowdown.
     pub slowdown: f64,
-    /// Share of its recent runs that ended ill, 0 to 1.
+    /// Fraction of the target's recent runs that failed, from 0 to 1.
     pub failure_rate: f64,
-    /// Time until the host's link is free of the answers that are due, in
-    /// milliseconds.
+    /// Time until the host's network link has sent the answers that are queued
+    /// for it, in milliseconds.
     pub link_ms: f64,
-    /// Time that a KiB takes on that link, in milliseconds.
+    /// Transmission time of one KiB on the host's network link, in milliseconds.
     pub link_ms_per_kib: f64,
 }
 
 impl TargetLoad {
-    /// Time of a run of any kind.
+    /// Run time to expect of a call whose route is not known.
     #[must_use]
     pub fn mean_run(&self) -> RunTime {
         let mean = Duration::from_secs_f64(self.run_ms.max(0.0) / 1_000.0);
@@ -97,215 +99,231 @@
     }
 }
 
-/// Messages of the long stream that each link has, both ways. The daemon that
-/// links says hello and asks; the one that it links to tells.
+/// Messages on the news stream, a long-lived stream in both directions that each
+/// link has. The dialing daemon opens it with `Hello`. It sends most of the requests,
+/// and the listening daemon sends most of the updates; `RequestMembers`, `Members`,
+/// `Suspects` and `Rollouts` go both ways.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum LinkMessage {
-    /// Who links.
+    /// First message of the dialing daemon.
     Hello {
-        /// The daemon that links.
+        /// The dialing daemon.
         from: PeerAddress,
-        /// The name of the host that it means to reach.
+        /// Name of the host that the dialing daemon expects at this address.
         to: String,
-        /// Instances beside the receiver that it heard were leaving.
-        left: Vec<InstanceKey>,
+        /// Instances on the receiver's host that the dialing daemon has seen in
+        /// state `Leaving`.
+        leaving_instances: Vec<InstanceKey>,
     },
-    /// The host meant is not here: its address is another's now.
+    /// The expected host is not at this address. Carries the daemon that uses the
+    /// address now.
     WrongHost(PeerAddress),
-    /// The receiver should list the hosts that it knows.
+    /// Requests the list of all hosts that the receiver knows.
     RequestMembers,
-    /// All hosts that the sender knows, itself included.
+    /// All hosts that the sender knows, including its own.
     Members(HostList),
-    /// A checksum of them. The list of 400 hosts is 36 KB; told to 60 daemons
-    /// whenever the store came back it filled a link of 10 Mbit/s for two
-    /// seconds, and calls reached their targets after their callers had left.
+    /// Checksum of the sender's list of hosts. A receiver whose own checksum
+    /// differs requests the list. Sending the list itself delayed calls: with 400
+    /// hosts it has 36 KB, and sending it to 60 daemons whenever the store came
+    /// back filled a link of 10 Mbit/s for two seconds, so that calls reached
+    /// their targets after their callers had left.
     MembersChecksum(u64),
-    /// What became of hosts.
+    /// Hosts that were added, removed or registered.
     HostsChanged(HostChanges),
-    /// The sender, a reader of its zone, is to be told of hosts like those of
-    /// the receiver's own zone.
+    /// Requests updates of the list of hosts. Daemons of the receiver's own zone get
+    /// them without a request; the sender is a reader of another zone.
     RequestHostUpdates,
-    /// The receiver should see to a host's row.
+    /// Requests a change of a row in the table of hosts.
     RequestRowChange {
-        /// What is to become of it.
+        /// The change.
         change: RowChange,
-        /// Whether the sender was asked for it itself. The receiver then sees
-        /// to it by itself, so that it cannot go in circles.
+        /// Whether the sender forwards the request of another daemon. The receiver
+        /// then makes the change itself, so that a request cannot be forwarded in
+        /// a loop.
         is_forwarded: bool,
     },
-    /// What the sender has of the store.
+    /// State of the sender's access to the store.
     Store(StoreState),
-    /// The store is giving the sender a version that is too heavy for links.
+    /// The sender is downloading a version from the store that is too large to be
+    /// sent over links.
     OversizedVersion,
-    /// The target beside the sender; `None` when there is none.
+    /// Status of the target on the sender's host; `None` if there is no target.
     Target(Option<TargetStatus>),
-    /// The version that the sender has in force.
+    /// The sender's version in force.
     InForce {
-        /// Its number.
+        /// Number of the version; 0 if the sender has none.
         version: u64,
     },
-    /// The receiver should send what leads to its version.
+    /// Requests the receiver's version in force.
     RequestVersion {
-        /// The version that the sender has in force.
+        /// Number of the sender's version in force; 0 if it has none.
         have: u64,
-        /// Whether the whole text is wanted if steps do not lead there.
+        /// Whether the receiver should respond with the whole text if it has no
+        /// steps from the sender's version.
         or_whole: bool,
     },
-    /// Steps to a version.
+    /// Deltas that lead to the sender's version in force.
     Steps {
-        /// The steps, in order.
+        /// The deltas, in the order of their versions.
         steps: Vec<VersionStep>,
     },
-    /// Calls that were at work as targets ended, or that ran well since.
+    /// Calls that were running when a target crashed, or that have succeeded since.
     Suspects(Vec<SuspectCall>),
-    /// How far roll-outs are.
+    /// State of the roll-outs.
     Rollouts(Vec<RolloutNews>),
-    /// What gates counted; for the daemons that decide on roll-outs.
+    /// Counts from gates, for the daemons that decide on roll-outs.
     Tallies(Vec<TargetTally>),
-    /// The sender has no steps to tell.
+    /// The sender has no steps that it can send.
     NoSteps {
-        /// Whether they are too heavy for a link, rather than not known.
+        /// Whether the steps are too large for a link. Otherwise the sender does not
+        /// have them.
         are_too_large: bool,
     },
-    /// A whole version, as the operator wrote it.
+    /// A whole version, as written by the operator.
     Version {
-        /// Its text, deflated.
+        /// Text of the version, compressed with DEFLATE.
         deflated: Vec<u8>,
     },
-    /// How old the newest version is.
+    /// When the store last confirmed its newest version.
     VersionConfirmation(VersionConfirmation),
-    /// The receiver should say what the store's clock shows.
+    /// Requests a sample of the store's clock.
     RequestClock {
-        /// The sender's time, in microseconds since its host's start.
+        /// Time of the request on the sender's clock, in microseconds since the
+        /// boot of its host.
         asked_us: u64,
     },
-    /// What the store's clock shows.
+    /// A sample of the store's clock.
     StoreClock {
-        /// How often the store had come back from an older copy.
+        /// Number of times that the store had been restored from an older copy.
         era: u64,
-        /// At most this, in microseconds.
+        /// Upper bound of the time on the store's clock, in microseconds.
         latest_us: u64,
-        /// The time of the question, as the receiver gave it.
+        /// The `asked_us` of the request.
         asked_us: u64,
     },
-    /// The sender brings its part of the tokens to the pool of the receiver, a reader
-    /// of its zone, for a while.
+    /// Leases the sender's share of the tokens to the receiver's pool for a limited
+    /// time. The receiver is a reader of the sender's zone.
     RenewPoolLease,
-    /// The receiver should grant tokens for calls.
+    /// Requests tokens for calls from the receiver's pool.
     RequestTokens {
-        /// Names the question.
+        /// Number of the request, chosen by the sender.
         request_id: u64,
-        /// The organisation whose calls they are for.
+        /// Organisation whose calls use the tokens.
         organisation: String,
-        /// How many at most.
+        /// Maximum number of tokens to grant.
         wanted: u32,
     },
-    /// What the sender's pool grants.
+    /// Response to `RequestTokens`.
     GrantTokens {
-        /// The question.
+        /// Number of the request.
         request_id: u64,
-        /// How many.
+        /// Number of tokens granted.
         granted: u32,
-        /// Microseconds until the next one, when there is none.
+        /// Time until the pool has its next token, in microseconds, if none was
+        /// granted.
         next_token_in_us: u64,
     },
 }
 
-/// What a daemon has of the store.
+/// State of a daemon's access to the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreState {
-    /// It does not ask it and tells nobody of it.
+    /// The daemon neither queries the store nor relays its contents.
     #[default]
     Unused,
-    /// It asks it, and it answers.
+    /// The daemon queries the store, and the store responds.
     Connected,
-    /// It asks in vain.
+    /// The daemon queries the store, and the store does not respond.
     Disconnected,
-    /// It passes on what daemons that ask tell it.
+    /// The daemon relays the store's contents, which it gets from upstreams.
     Relayed,
 }
 
 impl StoreState {
-    /// Whether a daemon in this state tells others what lies in the store, be
-    /// it that it asks in vain just now: with some that do, others would too.
+    /// Whether a daemon in this state relays the store's contents to others. This
+    /// includes a daemon that cannot reach the store at present: where some
+    /// daemons get no response, others would get none either.
     #[must_use]
     pub fn relays_store(self) -> bool {
         self != StoreState::Unused
     }
 
-    /// Whether what a daemon in this state knows of the hosts is up to date.
+    /// Whether the list of hosts of a daemon in this state is up to date.
     #[must_use]
     pub fn is_current(self) -> bool {
         matches!(self, StoreState::Connected | StoreState::Relayed)
     }
 }
 
-/// The step from one version to the next.
+/// Delta between two versions that were in force one after the other.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VersionStep {
-    /// The version before.
+    /// Number of the version to which the delta applies.
     pub from: u64,
-    /// The version after.
+    /// Number of the version that results.
     pub to: u64,
-    /// How their texts differ.
+    /// Difference between the texts of the two versions.
     pub delta: TextDelta,
 }
 
-/// A time in microseconds, as messages carry it.
+/// Converts a duration to the microseconds that messages carry; saturates at
+/// [`u64::MAX`].
 #[must_use]
 pub fn to_micros(time: Duration) -> u64 {
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Whether a decline means that the gate was closed.
+/// Whether a call was declined because the gate is closed.
 #[must_use]
 pub fn is_closed(reason: DeclineReason) -> bool {
     matches!(reason, DeclineReason::Closed)
 }
 
-/// Bytes that are no message.
+/// Error of decoding bytes that are not a valid message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BadMessage;
+pub struct DecodeError;
 
-/// Encodes a message behind its length.
+/// Encodes a message with its length prefix.
 ///
 /// # Panics
-/// Never: messages hold only plain data that bincode always encodes.
+/// Panics if the message is 4 GiB or longer. Encoding itself does not fail:
+/// messages hold only plain data.
 #[must_use]
 pub fn encode<M: Serialize>(message: &M) -> Bytes {
     let body = bincode::serde::encode_to_vec(message, bincode::config::standard())
         .expect("a message always encodes");
-    let mut framed = BytesMut::with_capacity(LENGTH_BYTES + body.len());
+    let mut framed = BytesMut::with_capacity(LENGTH_PREFIX_BYTES + body.len());
     let length = u32::try_from(body.len()).expect("messages are shorter than 4 GiB");
     framed.extend_from_slice(&length.to_be_bytes());
     framed.extend_from_slice(&body);
     framed.freeze()
 }
 
-/// Takes the next message out of `buffer`; `None` when it is not there whole.
+/// Decodes the next message and removes it from `buffer`. Returns `None`, and
+/// leaves `buffer` as it is, while the message is incomplete.
 ///
 /// # Errors
-/// [`BadMessage`] when the bytes are not such a message.
+/// [`DecodeError`] if the message is too long or its bytes are not an `M`.
 pub fn decode_next<M: for<'de> Deserialize<'de>>(
     buffer: &mut BytesMut,
-) -> Result<Option<M>, BadMessage> {
-    let Some(prefix) = buffer.first_chunk::<LENGTH_BYTES>() else {
+) -> Result<Option<M>, DecodeError> {
+    let Some(prefix) = buffer.first_chunk::<LENGTH_PREFIX_BYTES>() else {
         return Ok(None);
     };
     let length = u32::from_be_bytes(*prefix) as usize;
-    if length > MAX_MESSAGE {
-        return Err(BadMessage);
+    if length > MAX_MESSAGE_BYTES {
+        return Err(DecodeError);
     }
-    if buffer.len() < LENGTH_BYTES + length {
+    if buffer.len() < LENGTH_PREFIX_BYTES + length {
         return Ok(None);
     }
-    buffer.advance(LENGTH_BYTES);
+    buffer.advance(LENGTH_PREFIX_BYTES);
     let body = buffer.split_to(length);
     let (message, used) = bincode::serde::decode_from_slice(&body, bincode::config::standard())
-        .map_err(|_| BadMessage)?;
+        .map_err(|_| DecodeError)?;
     if used == length {
         Ok(Some(message))
     } else {
-        Err(BadMessage)
+        Err(DecodeError)
     }
 }
--- a/crates/mesh/src/messages/calls.rs
+++ b/crates/mesh/src/messages/calls.rs
@@ -1,4 +1,4 @@
-//! A call between daemons, and what becomes of it.
+//! Messages for a call between daemons: its head, and the reply.
 
 use std::time::Duration;
 
@@ -9,117 +9,120 @@
 use super::{to_micros, TargetLoad};
 use crate::quarantine::AgedCrash;
 
-/// A call on its way to the target's daemon; its body follows.
+/// Head of a call to the target's daemon. The call's body follows on the stream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CallHead {
-    /// The call's id.
+    /// Request id of the call.
     pub id: String,
-    /// What it is, whichever try of its client it belongs to.
+    /// Identity of the call, which is the same for all retries by its client.
     pub identity: CallIdentity,
-    /// The service that it was routed to.
+    /// Service to which the call was routed.
     pub service: String,
-    /// Its method.
+    /// HTTP method.
     pub method: String,
-    /// Its path and query.
+    /// Path and query of the URL.
     pub target: String,
-    /// Its header lines, but for those of one attempt or connection.
+    /// Header lines, without those that belong to a single attempt or connection.
     pub lines: Vec<u8>,
-    /// Length of its body; `None` when not known ahead.
+    /// Length of the call's body, in bytes; `None` if not known in advance.
     pub body_length: Option<u64>,
-    /// Whether it has a body.
+    /// Whether the call has a body.
     pub has_body: bool,
-    /// Microseconds until an answer is worth nothing.
+    /// Time until the call's deadline, after which an answer is of no use, in
+    /// microseconds.
     pub deadline_us: u64,
-    /// Microseconds until an answer is worth less; 0 when that is past.
+    /// Time until the call's soft deadline, after which an answer is worth less, in
+    /// microseconds; 0 if it has passed.
     pub soft_deadline_us: u64,
-    /// Its rank; 0 goes first.
+    /// Priority of the call; 0 is the highest.
     pub priority: u8,
-    /// Usual size of an answer to it, in bytes.
+    /// Usual size of an answer on the call's route, in bytes.
     pub answer_bytes: u64,
-    /// Its kind: the name of its route.
+    /// Name of the call's route.
     pub kind: String,
-    /// Usual time of a run of this kind.
+    /// Expected run time on the call's route; `None` if not known.
     pub expected_run_time: Option<ExpectedRunTime>,
 }
 
-/// What runs of a kind usually take, on all targets.
+/// Expected run time of the calls on a route, over all targets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExpectedRunTime {
-    /// On average, in microseconds.
+    /// Mean run time, in microseconds.
     pub mean_us: u64,
-    /// Mean distance from that, in microseconds.
+    /// Mean absolute deviation from the mean, in microseconds.
     pub mean_deviation_us: u64,
 }
 
 impl From<RunTime> for ExpectedRunTime {
-    fn from(time: RunTime) -> ExpectedRunTime {
+    fn from(run_time: RunTime) -> ExpectedRunTime {
         ExpectedRunTime {
-            mean_us: to_micros(time.mean),
-            mean_deviation_us: to_micros(time.mean_deviation),
+            mean_us: to_micros(run_time.mean),
+            mean_deviation_us: to_micros(run_time.mean_deviation),
         }
     }
 }
 
 impl From<ExpectedRunTime> for RunTime {
-    fn from(usual: ExpectedRunTime) -> RunTime {
+    fn from(expected: ExpectedRunTime) -> RunTime {
         RunTime {
-            mean: Duration::from_micros(usual.mean_us),
-            mean_deviation: Duration::from_micros(usual.mean_deviation_us),
+            mean: Duration::from_micros(expected.mean_us),
+            mean_deviation: Duration::from_micros(expected.mean_deviation_us),
         }
     }
 }
 
-/// What the target's daemon says of a call; an answer's body follows.
+/// Reply of the target's daemon to a call. The body of an `Answer` follows on the
+/// stream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ReplyHead {
-    /// The call did not reach the target.
+    /// The gate declined the call; it did not reach the target.
     Declined {
-        /// Whether the gate was closed rather than crowded.
+        /// Whether the gate is closed. Otherwise the target is overloaded.
         closed: bool,
-        /// Microseconds until room is expected.
+        /// Time until the gate expects to have room for the call, in microseconds.
         room_in_us: u64,
-        /// The target's load.
+        /// Load of the target.
         load: TargetLoad,
     },
-    /// The target said that it did not run the call.
+    /// The target stated that it did not run the call.
     Rejected {
-        /// The target's load.
+        /// Load of the target.
         load: TargetLoad,
     },
-    /// The call is held back, and was not sent.
+    /// The call is held back by quarantine, and was not sent to the target.
     HeldBack {
-        /// Microseconds for which it is.
+        /// Time until the hold ends, in microseconds.
         remaining_us: u64,
-        /// The target's load.
+        /// Load of the target.
         load: TargetLoad,
     },
-    /// The call was sent and gave no usable answer.
+    /// The call was sent to the target, but no valid answer came back.
     Lost {
-        /// Set when the target ended under it.
+        /// Crash of the target, if the target ended while it ran the call.
         ended: Option<AgedCrash>,
-        /// The target's load.
+        /// Load of the target.
         load: TargetLoad,
     },
     /// The target's answer.
     Answer {
-        /// Its head.
+        /// Head of the answer.
         head: AnswerHead,
-        /// Time from the start of the run to that head, in microseconds.
+        /// Time from the start of the run until the head arrived, in microseconds.
         time_to_head_us: u64,
-        /// The target's load.
+        /// Load of the target.
         load: TargetLoad,
     },
 }
 
-/// The head of a target's answer.
+/// Head of a target's answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerHead {
-    /// Its status.
+    /// HTTP status code.
     pub status: u16,
-    /// Its reason phrase.
+    /// Reason phrase.
     pub reason: String,
-    /// Its end-to-end header lines.
+    /// End-to-end header lines.
     pub lines: Vec<u8>,
-    /// Its body's length; `None` when not known ahead.
+    /// Length of the answer's body, in bytes; `None` if not known in advance.
     pub body_length: Option<u64>,
 }
--- a/crates/mesh/src/messages/hosts.rs
+++ b/crates/mesh/src/messages/hosts.rs
@@ -1,22 +1,23 @@
-//! What daemons say of hosts and of the rows in the table of hosts.
+//! Parts of messages on hosts and on the rows in the table of hosts.
 
 use serde::{Deserialize, Serialize};
 
-use super::{BadMessage, PeerAddress};
+use super::{DecodeError, PeerAddress};
 use crate::deflate;
 use crate::held_rows::{self, HeldRow};
 
-/// A list of hosts, deflated: their names and addresses are much alike.
+/// A list of hosts, compressed with DEFLATE: names and addresses are similar to
+/// each other and compress well.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostList {
     deflated: Vec<u8>,
 }
 
 impl HostList {
-    /// Packs `hosts`.
+    /// Compresses `hosts`.
     ///
     /// # Panics
-    /// Never: addresses hold only plain data that bincode always encodes.
+    /// Never: encoding does not fail, as addresses hold only plain data.
     #[must_use]
     pub fn pack(hosts: &[PeerAddress]) -> HostList {
         let plain = bincode::serde::encode_to_vec(hosts, bincode::config::standard())
@@ -26,42 +27,43 @@
         }
     }
 
-    /// The hosts.
+    /// Decompresses the hosts.
     ///
     /// # Errors
-    /// [`BadMessage`] when the bytes are not such a list.
-    pub fn unpack(&self) -> Result<Vec<PeerAddress>, BadMessage> {
-        let plain = deflate::unpack(&self.deflated).map_err(|_| BadMessage)?;
+    /// [`DecodeError`] if the bytes are not a valid list of hosts.
+    pub fn unpack(&self) -> Result<Vec<PeerAddress>, DecodeError> {
+        let plain = deflate::unpack(&self.deflated).map_err(|_| DecodeError)?;
         bincode::serde::decode_from_slice(&plain, bincode::config::standard())
             .map(|(hosts, _)| hosts)
-            .map_err(|_| BadMessage)
+            .map_err(|_| DecodeError)
     }
 }
 
-/// What became of hosts.
+/// Changes to the set of hosts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostChanges {
-    /// Those that came, or changed their address.
+    /// Hosts that were added, or whose address changed.
     pub added: Vec<PeerAddress>,
-    /// Names of those whose row is gone.
+    /// Names of the hosts whose row was deleted.
     pub removed: Vec<String>,
-    /// Names of those whose row was written for them.
+    /// Names of the hosts whose row was written on their behalf.
     pub registered: Vec<String>,
 }
 
-/// What is to become of a host's row in the store.
+/// A change of a row in the store's table of hosts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RowChange {
-    /// It is missing or wrong.
+    /// Writes a host's row, which is missing or wrong.
     Write(PeerAddress),
-    /// The host of this name is taken away, or the call of this key let go.
+    /// Deletes the row with this key: that of a host by its name, or that of a held
+    /// call, which is thereby released.
     Remove(String),
-    /// A call is held back.
+    /// Writes the row of a call that is held back.
     Hold(HeldRow),
 }
 
 impl RowChange {
-    /// The key of the row: of a host its name.
+    /// Key of the row; the key of a host's row is the host's name.
     #[must_use]
     pub fn key(&self) -> String {
         match self {
--- a/crates/mesh/src/messages/organisations.rs
+++ b/crates/mesh/src/messages/organisations.rs
@@ -1,14 +1,14 @@
-//! What daemons tell each other of organisations.
+//! Parts of messages on organisations.
 
 use serde::{Deserialize, Serialize};
 
-/// Word that a version was the store's newest.
+/// Confirmation that a version was the newest in the store at a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionConfirmation {
-    /// How often the store had come back from an older copy.
+    /// Number of times that the store had been restored from an older copy.
     pub era: u64,
-    /// The version.
+    /// Number of the version.
     pub version: u64,
-    /// When, on the store's clock, in microseconds.
+    /// Time of the confirmation on the store's clock, in microseconds.
     pub at_us: u64,
 }
--- a/crates/mesh/src/news.rs
+++ b/crates/mesh/src/news.rs
@@ -1,5 +1,5 @@
-//! The dialing side of the stream for news: what another daemon tells, and
-//! what this one asks it for.
+//! The dialing side of the news stream: handles the updates that a peer sends, and
+//! sends it requests.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -19,23 +19,26 @@
 use crate::peers::Peer;
 use crate::state::MeshShared;
 
-/// Time in which changes of hosts settle before a whole list is asked for: many
-/// come and go at once, and each is told by itself.
-const MEMBERS_SETTLE: Duration = Duration::from_millis(500);
+/// Delay between a checksum of hosts that differs from this daemon's and the
+/// request for the whole list. Often many hosts come and go at once, and the updates
+/// on each of them may settle the difference first.
+const MEMBERS_REQUEST_DELAY: Duration = Duration::from_millis(500);
 
-/// Hears news of `peer` over the connection of `sender` until they end, and
-/// gives the connection to calls.
-pub async fn follow(
+/// Opens the news stream to `peer` on the connection of `sender`, makes the
+/// connection available to calls, and runs the stream until it ends; returns why it
+/// ended. `was_up` is set once the peer has sent a message, other than that it is the
+/// wrong host.
+pub async fn run_news_stream(
     shared: &Rc<MeshShared>,
     peer: &Rc<Peer>,
     sender: SendRequest<Bytes>,
     was_up: &Cell<bool>,
 ) -> LinkError {
-    let (outgoing, incoming) = match open(sender.clone()).await {
+    let (outgoing, incoming) = match open_stream(sender.clone()).await {
         Ok(streams) => streams,
         Err(error) => return error,
     };
-    let mut listener = NewsListener {
+    let mut stream = NewsStream {
         shared,
         peer,
         outgoing,
@@ -46,57 +49,59 @@
     let hello = LinkMessage::Hello {
         from: shared.own_address(),
         to: peer.address.id.clone(),
-        left: peer.left(),
+        leaving_instances: peer.leaving_instances(),
     };
-    if let Err(error) = listener.send_message(&hello) {
+    if let Err(error) = stream.send_message(&hello) {
         return error;
     }
     if let Some(suspects) = shared.quarantine.suspects() {
-        if let Err(error) = listener.send_message(&suspects) {
+        if let Err(error) = stream.send_message(&suspects) {
             return error;
         }
     }
     if let Some(rollouts) = shared.all_rollouts() {
-        if let Err(error) = listener.send_message(&rollouts) {
+        if let Err(error) = stream.send_message(&rollouts) {
             return error;
         }
     }
     peer.link.replace(Some(sender));
-    match listener.hear(incoming).await {
-        Ok(()) => LinkError::Ended,
+    match stream.run(incoming).await {
+        Ok(()) => LinkError::Closed,
         Err(error) => error,
     }
 }
 
-async fn open(sender: SendRequest<Bytes>) -> Result<(SendStream<Bytes>, RecvStream), LinkError> {
+async fn open_stream(
+    sender: SendRequest<Bytes>,
+) -> Result<(SendStream<Bytes>, RecvStream), LinkError> {
     let request = Request::post(NEWS_PATH)
         .body(())
-        .map_err(|_| LinkError::Frame)?;
+        .map_err(|_| LinkError::InvalidMessage)?;
     let mut sender = sender.ready().await?;
     let (answer, outgoing) = sender.send_request(request, false)?;
     let answer = tokio::time::timeout(OPEN_TIMEOUT, answer)
         .await
-        .map_err(|_| LinkError::Open)??;
+        .map_err(|_| LinkError::ConnectFailed)??;
     Ok((outgoing, answer.into_body()))
 }
 
-/// One link's news.
-struct NewsListener<'a> {
+/// The news stream of one link.
+struct NewsStream<'a> {
     shared: &'a Rc<MeshShared>,
     peer: &'a Rc<Peer>,
     outgoing: SendStream<Bytes>,
     asker: VersionAsker<'a>,
-    /// When the list of hosts behind a checksum is asked for, if it is still
-    /// another than this daemon's.
+    /// Checksum of the peer's list of hosts that differed from this daemon's, and the
+    /// time at which the list is requested if it still differs.
     members_due: Option<(Instant, u64)>,
     was_up: &'a Cell<bool>,
 }
 
-impl NewsListener<'_> {
-    async fn hear(&mut self, mut incoming: RecvStream) -> Result<(), LinkError> {
+impl NewsStream<'_> {
+    async fn run(&mut self, mut incoming: RecvStream) -> Result<(), LinkError> {
         let mut buffer = BytesMut::new();
         loop {
-            self.take_messages(&mut buffer)?;
+            self.handle_messages(&mut buffer)?;
             while let Some(message) = self.peer.next_unsent() {
                 self.send_message(&message)?;
             }
@@ -104,36 +109,36 @@
             let members_at = self.members_due.map(|(at, _)| at);
             tokio::select! {
                 data = next_data(&mut incoming) => match data {
-                    Some(Ok(piece)) => {
+                    Some(Ok(data)) => {
                         self.peer.record_received(self.shared.clock.now());
-                        buffer.extend_from_slice(&piece);
+                        buffer.extend_from_slice(&data);
                     }
                     Some(Err(error)) => return Err(LinkError::Protocol(error)),
                     None => return Ok(()),
                 },
-                () = self.peer.has_unsent.notified() => {}
-                () = until(ask_at) => {
-                    if let Some(ask) = self.asker.ask() {
-                        self.send_message(&ask)?;
+                () = self.peer.unsent_added.notified() => {}
+                () = sleep_until(ask_at) => {
+                    if let Some(request) = self.asker.ask() {
+                        self.send_message(&request)?;
                     }
                 }
-                () = until(members_at) => self.ask_members()?,
+                () = sleep_until(members_at) => self.request_members()?,
             }
         }
     }
 
-    /// Takes the messages that are whole by now.
-    fn take_messages(&mut self, buffer: &mut BytesMut) -> Result<(), LinkError> {
+    /// Handles the complete messages in `buffer`.
+    fn handle_messages(&mut self, buffer: &mut BytesMut) -> Result<(), LinkError> {
         let mut unread = buffer.len();
-        while let Some(message) = decode_next(buffer).map_err(|_| LinkError::Frame)? {
+        while let Some(message) = decode_next(buffer).map_err(|_| LinkError::InvalidMessage)? {
             let bytes = unread - buffer.len();
             unread = buffer.len();
             self.shared
                 .count_crossing(self.peer, cause_of(&message), bytes);
             if !matches!(message, LinkMessage::WrongHost(_)) {
-                self.come_up();
+                self.mark_up();
             }
-            self.take_message(message)?;
+            self.handle_message(message)?;
         }
         if !buffer.is_empty() {
             self.asker.take_part();
@@ -141,18 +146,19 @@
         Ok(())
     }
 
-    /// Notes that the other daemon has spoken on this link.
-    fn come_up(&self) {
+    /// Marks the link as up; called for each message from the peer.
+    fn mark_up(&self) {
         if self.was_up.replace(true) {
             return;
         }
         log::info!("event=link_up peer={}", self.peer.address.id);
-        if self.peer.is_failing.replace(false) || self.shared.is_upstream(&self.peer.address.id) {
+        if self.peer.is_unreachable.replace(false) || self.shared.is_upstream(&self.peer.address.id)
+        {
             self.shared.members.changed.notify_one();
         }
     }
 
-    fn take_message(&mut self, message: LinkMessage) -> Result<(), LinkError> {
+    fn handle_message(&mut self, message: LinkMessage) -> Result<(), LinkError> {
         let from = self.peer.address.id.as_str();
         match message {
             LinkMessage::InForce { version } => {
@@ -170,26 +176,27 @@
                 self.asker.take_answer();
             }
             LinkMessage::NoSteps { are_too_large } => self.asker.lacks_steps(are_too_large),
-            LinkMessage::MembersChecksum(sum) => {
-                let is_other = sum != self.shared.members_checksum();
-                let at = self.shared.clock.now() + MEMBERS_SETTLE;
-                self.members_due = is_other.then_some((at, sum));
+            LinkMessage::MembersChecksum(checksum) => {
+                let is_different = checksum != self.shared.members_checksum();
+                let at = self.shared.clock.now() + MEMBERS_REQUEST_DELAY;
+                self.members_due = is_different.then_some((at, checksum));
             }
             LinkMessage::WrongHost(other) => {
                 self.shared.host_was_replaced(&self.peer.address, other);
-                return Err(LinkError::Replaced);
+                return Err(LinkError::HostReplaced);
             }
             LinkMessage::RequestMembers => self.send_message(&self.shared.member_list())?,
-            other => heard_news(self.shared, self.peer, other),
+            other => handle_update(self.shared, self.peer, other),
         }
         Ok(())
     }
 
-    /// Asks for the list of hosts, unless this daemon has it by now.
-    fn ask_members(&mut self) -> Result<(), LinkError> {
-        let told = self.members_due.take().map(|(_, sum)| sum);
-        let is_missed = told != Some(self.shared.members_checksum());
-        if is_missed && self.shared.is_upstream(&self.peer.address.id) {
+    /// Requests the list of hosts, unless this daemon's list has the same checksum by
+    /// now or the peer is not an upstream.
+    fn request_members(&mut self) -> Result<(), LinkError> {
+        let received = self.members_due.take().map(|(_, checksum)| checksum);
+        let is_different = received != Some(self.shared.members_checksum());
+        if is_different && self.shared.is_upstream(&self.peer.address.id) {
             self.send_message(&LinkMessage::RequestMembers)?;
         }
         Ok(())
@@ -205,8 +212,8 @@
     }
 }
 
-/// Waits until `at`; for ever where there is no such time.
-async fn until(at: Option<Instant>) {
+/// Sleeps until `at`; for ever if `at` is `None`.
+async fn sleep_until(at: Option<Instant>) {
     match at {
         Some(at) => tokio::time::sleep_until(at.into()).await,
         None => std::future::pending().await,
@@ -242,12 +249,12 @@
     }
 }
 
-/// News that need no answer.
-fn heard_news(shared: &Rc<MeshShared>, peer: &Peer, message: LinkMessage) {
+/// Handles an update that needs no response.
+fn handle_update(shared: &Rc<MeshShared>, peer: &Peer, message: LinkMessage) {
     let from = peer.address.id.as_str();
     match message {
         LinkMessage::Target(target) => {
-            heard_target(peer, target);
+            update_target(peer, target);
             shared.peers.target_updated.notify_waiters();
         }
         LinkMessage::Store(state) => {
@@ -260,10 +267,12 @@
                 log::error!("event=members_unreadable from={from}");
                 return;
             };
-            let reads = !shared.follows();
-            if reads && shared.members.is_known.get() {
-                // What this daemon read itself tells who is gone; the list may
-                // still hold hosts that came since, when it is about to follow.
+            let is_reading_store = !shared.follows();
+            if is_reading_store && shared.members.is_known.get() {
+                // This daemon learns from the store itself which hosts were removed, so it
+                // only adds hosts from the list. The list may have hosts that were added
+                // since the daemon last read the store, if it is about to follow an
+                // upstream.
                 for host in hosts {
                     shared.learn_host(host, from);
                 }
@@ -280,14 +289,14 @@
         LinkMessage::HostsChanged(changes) => shared.take_changes(changes, from),
         LinkMessage::Suspects(calls) => shared.quarantine.hear(&calls, from),
         LinkMessage::Rollouts(news) => shared.hear_rollouts(&news, from),
-        LinkMessage::VersionConfirmation(told) => shared.hear_age(told, peer),
+        LinkMessage::VersionConfirmation(confirmation) => shared.hear_age(confirmation, peer),
         LinkMessage::StoreClock {
             era,
             latest_us,
             asked_us,
         } => {
-            let asked = Duration::from_micros(asked_us);
-            shared.hear_clock(era, Duration::from_micros(latest_us), asked);
+            let requested_at = Duration::from_micros(asked_us);
+            shared.hear_clock(era, Duration::from_micros(latest_us), requested_at);
         }
         LinkMessage::GrantTokens {
             request_id,
@@ -318,14 +327,14 @@
     }
 }
 
-fn heard_target(peer: &Peer, target: Option<TargetStatus>) {
+fn update_target(peer: &Peer, target: Option<TargetStatus>) {
     let summary = |target: &Option<(TargetStatus, u32)>| {
         target
             .as_ref()
             .map(|(target, _)| (target.instance.clone(), target.state))
     };
     let before = summary(&peer.target());
-    peer.describe(target);
+    peer.set_target(target);
     let after = summary(&peer.target());
     if before != after {
         let (instance, state) = match after {
--- a/crates/mesh/src/peers.rs
+++ b/crates/mesh/src/peers.rs
@@ -1,5 +1,6 @@
-//! The daemons that this one links to: the links, and the targets beside them;
-//! and those that link here and want news.
+//! Peers: the daemons to which this daemon links, with the state of each link and
+//! of the target on the peer's host; and the daemons that link to this one and
+//! subscribe to its news.
 
 mod table;
 
@@ -19,188 +20,197 @@
     to_micros, LinkMessage, PeerAddress, StoreState, TargetLoad, TargetState, TargetStatus,
 };
 
-pub use table::{NewsFeed, PeerTable};
+pub use table::{NewsSubscription, PeerTable};
 
-/// Leaving instances remembered for a host: more than one is replaced there
-/// only in a long time.
-const MOST_LEFT: usize = 8;
-/// Time after which a daemon that did not know the store's clock is asked again.
-const CLOCK_AGAIN: Duration = Duration::from_millis(500);
+/// Maximum number of leaving instances remembered for a host, whose instances are
+/// seldom replaced.
+const MAX_LEAVING_INSTANCES: usize = 8;
+/// Minimum time between two requests for the store's clock to the same peer.
+const CLOCK_REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// One other daemon.
+/// A daemon to which this daemon links.
 pub struct Peer {
-    /// Where it is.
+    /// Identity and address of the peer.
     pub address: PeerAddress,
-    /// The open link, if there is one.
+    /// The open link; `None` while there is none.
     pub link: RefCell<Option<SendRequest<Bytes>>>,
-    /// The target beside it as last described over the link.
+    /// Status of the target on the peer's host, as last received.
     target: RefCell<Option<TargetStatus>>,
-    /// Instances there that were heard to be leaving.
-    left: RefCell<Vec<InstanceKey>>,
-    /// Calls sent there since that description.
+    /// Instances of that target that were reported as leaving, newest last.
+    leaving_instances: RefCell<Vec<InstanceKey>>,
+    /// Number of calls sent to the target since its last status or load.
     sent_since: Cell<u32>,
-    /// Set when the entry is replaced or removed: its link ends as soon as no
-    /// call uses it.
-    pub is_dropped: Cell<bool>,
-    /// Calls that use the link.
-    in_use: Cell<u32>,
-    /// Wakes the link when the last call on it has ended.
-    pub unused: Notify,
-    /// Whether links to it have failed of late.
-    pub is_failing: Cell<bool>,
-    /// What it has of the store, as far as it said.
+    /// Whether the peer was replaced or removed in the table of peers. Its link is
+    /// closed as soon as no call uses it.
+    pub is_removed: Cell<bool>,
+    /// Number of calls that use the link.
+    calls_in_flight: Cell<u32>,
+    /// Notified when the peer is removed, and when the last call on the link of a
+    /// removed peer has ended.
+    pub became_idle: Notify,
+    /// Whether recent attempts to link to the peer have failed.
+    pub is_unreachable: Cell<bool>,
+    /// The peer's last reported state of its store access.
     pub store: Cell<StoreState>,
-    /// The version that it has in force, as far as it said; 0 when it has none.
+    /// Number of the peer's version in force, or 0 if it has none; `None` until the
+    /// peer has reported it.
     pub version: Cell<Option<u64>>,
-    /// Whether it was asked to tell of hosts.
-    is_followed: Cell<bool>,
-    /// Messages that are to go over the link.
+    /// Whether the peer was asked for updates of hosts over this link.
+    has_requested_updates: Cell<bool>,
+    /// Messages to be sent over the link, oldest first.
     unsent: RefCell<VecDeque<LinkMessage>>,
-    /// Wakes the link when one was added.
-    pub has_unsent: Notify,
-    /// Wakes the dialer early.
-    pub nudge: Notify,
-    /// When it was asked for the store's clock, since the own host's start.
-    clock_asked: Cell<Option<Duration>>,
-    /// When anything last came over the link.
-    heard: Cell<Option<Instant>>,
-    /// Asks for a PING now.
-    pub doubted: Notify,
-    /// Whether a PING is overdue.
+    /// Notified when a message was added to `unsent`.
+    pub unsent_added: Notify,
+    /// Notified to dial the peer without waiting for the redial delay.
+    pub dial_now: Notify,
+    /// Time of the last request for the store's clock, since the boot of this
+    /// daemon's host.
+    clock_requested_at: Cell<Option<Duration>>,
+    /// Time at which data last arrived over the link.
+    last_received: Cell<Option<Instant>>,
+    /// Notified to send a PING now.
+    pub ping_requested: Notify,
+    /// Whether the response to a PING is overdue.
     is_unresponsive: Cell<bool>,
-    /// Wakes calls under way when the link falls silent.
+    /// Notified when the peer becomes unresponsive; wakes the calls on the link.
     pub became_unresponsive: Notify,
 }
 
 impl Peer {
-    /// A peer that is not linked yet.
+    /// Creates a peer without a link.
     #[must_use]
     pub fn new(address: PeerAddress) -> Rc<Peer> {
         Rc::new(Peer {
             address,
             link: RefCell::new(None),
             target: RefCell::new(None),
-            left: RefCell::new(Vec::new()),
+            leaving_instances: RefCell::new(Vec::new()),
             sent_since: Cell::new(0),
-            is_dropped: Cell::new(false),
-            in_use: Cell::new(0),
-            unused: Notify::new(),
-            is_failing: Cell::new(false),
+            is_removed: Cell::new(false),
+            calls_in_flight: Cell::new(0),
+            became_idle: Notify::new(),
+            is_unreachable: Cell::new(false),
             store: Cell::new(StoreState::Unused),
             version: Cell::new(None),
-            is_followed: Cell::new(false),
+            has_requested_updates: Cell::new(false),
             unsent: RefCell::default(),
-            has_unsent: Notify::new(),
-            nudge: Notify::new(),
-            clock_asked: Cell::new(None),
-            heard: Cell::new(None),
-            doubted: Notify::new(),
+            unsent_added: Notify::new(),
+            dial_now: Notify::new(),
+            clock_requested_at: Cell::new(None),
+            last_received: Cell::new(None),
+            ping_requested: Notify::new(),
             is_unresponsive: Cell::new(false),
             became_unresponsive: Notify::new(),
         })
     }
 
-    /// Whether calls and news go over the link.
+    /// Whether the link is up and the peer is responsive.
     #[must_use]
     pub fn is_linked(&self) -> bool {
         self.link.borrow().is_some() && !self.is_unresponsive.get()
     }
 
-    /// Forgets what was true of a link that ended.
+    /// Clears the state that belongs to a link, after the link has ended.
     pub fn reset(&self) {
         self.link.replace(None);
-        self.describe(None);
+        self.set_target(None);
         self.store.set(StoreState::Unused);
         self.version.set(None);
-        self.is_followed.set(false);
-        self.clock_asked.set(None);
+        self.has_requested_updates.set(false);
+        self.clock_requested_at.set(None);
         self.unsent.borrow_mut().clear();
     }
 
-    /// Sends a message over the link, if there is one; whether there is.
+    /// Queues a message to be sent over the link. Returns `false`, and drops the
+    /// message, if the peer is not linked.
     pub fn send_message(&self, message: LinkMessage) -> bool {
         if !self.is_linked() {
             return false;
         }
         self.unsent.borrow_mut().push_back(message);
-        self.has_unsent.notify_one();
+        self.unsent_added.notify_one();
         true
     }
 
-    /// The next message to send.
+    /// Removes the next message to send from the queue.
     #[must_use]
     pub fn next_unsent(&self) -> Option<LinkMessage> {
         self.unsent.borrow_mut().pop_front()
     }
 
-    /// Asks it, once a link, to tell of hosts.
+    /// Requests updates of hosts from the peer, at most once per link.
     pub fn request_host_updates(&self) {
-        if !self.is_followed.get() {
-            self.is_followed
+        if !self.has_requested_updates.get() {
+            self.has_requested_updates
                 .set(self.send_message(LinkMessage::RequestHostUpdates));
         }
     }
 
-    /// Asks it, unless it was of late, what the store's clock shows; `now` counts
-    /// from the own host's start.
+    /// Requests a sample of the store's clock, unless one was requested within
+    /// [`CLOCK_REQUEST_INTERVAL`]. `now` is the time since the boot of this daemon's
+    /// host.
     pub fn request_clock(&self, now: Duration) {
-        let asked = self.clock_asked.get();
-        if asked.is_some_and(|asked| now < asked + CLOCK_AGAIN) {
+        let requested_at = self.clock_requested_at.get();
+        if requested_at.is_some_and(|requested_at| now < requested_at + CLOCK_REQUEST_INTERVAL) {
             return;
         }
         let asked_us = to_micros(now);
         if self.send_message(LinkMessage::RequestClock { asked_us }) {
-            self.clock_asked.set(Some(now));
+            self.clock_requested_at.set(Some(now));
         }
     }
 
-    /// Whether anything came over the link within `pause`.
+    /// Whether data has arrived over the link within the last `period`.
     #[must_use]
-    pub fn heard_within(&self, now: Instant, pause: Duration) -> bool {
-        self.heard.get().is_some_and(|heard| now < heard + pause)
+    pub fn received_within(&self, now: Instant, period: Duration) -> bool {
+        self.last_received
+            .get()
+            .is_some_and(|received| now < received + period)
     }
 
-    /// Time until nothing came over the link for `pause`, if nothing comes.
+    /// Time until the link will have been idle for `period` if no data arrives;
+    /// `period` if it has been already.
     #[must_use]
-    pub fn quiet_until(&self, pause: Duration, now: Instant) -> Duration {
-        let heard = self.heard.get().unwrap_or(now);
-        match (heard + pause).saturating_duration_since(now) {
-            // Quiet already: a whole pause until it is looked at again.
-            Duration::ZERO => pause,
+    pub fn time_until_idle(&self, period: Duration, now: Instant) -> Duration {
+        let received = self.last_received.get().unwrap_or(now);
+        match (received + period).saturating_duration_since(now) {
+            // The link is idle already: the next check is a whole period away.
+            Duration::ZERO => period,
             left => left,
         }
     }
 
-    /// Whether the link may end: nobody wants it and no call uses it.
+    /// Whether the link may be closed: the peer is removed and no call uses the
+    /// link.
     #[must_use]
-    pub fn is_done(&self) -> bool {
-        self.is_dropped.get() && self.in_use.get() == 0
+    pub fn is_closable(&self) -> bool {
+        self.is_removed.get() && self.calls_in_flight.get() == 0
     }
 
-    /// Notes that something came over the link.
+    /// Records that data arrived over the link.
     pub fn record_received(&self, now: Instant) {
-        self.heard.set(Some(now));
+        self.last_received.set(Some(now));
         self.is_unresponsive.set(false);
     }
 
-    /// Asks for a PING if nothing came over the link for `pause`.
-    pub fn request_ping_if_idle(&self, now: Instant, pause: Duration) {
-        if !self.heard_within(now, pause) && !self.is_unresponsive.get() {
-            self.doubted.notify_one();
+    /// Requests a PING if no data has arrived over the link for `period`.
+    pub fn request_ping_if_idle(&self, now: Instant, period: Duration) {
+        if !self.received_within(now, period) && !self.is_unresponsive.get() {
+            self.ping_requested.notify_one();
         }
     }
 
-    /// Notes that a PING is overdue: no new calls go there, and calls under
-    /// way that may be sent again are.
+    /// Marks the peer as unresponsive: it gets no new calls, and those of its calls
+    /// that may be retried are sent to other targets.
     pub fn mark_unresponsive(&self) {
         self.is_unresponsive.set(true);
         self.became_unresponsive.notify_waiters();
     }
 
-    /// Whether it answers.
+    /// Whether the peer responds.
     #[must_use]
     pub fn reachability(&self) -> Reachability {
-        if self.is_failing.get() {
+        if self.is_unreachable.get() {
             Reachability::Unreachable
         } else if self.is_unresponsive.get() {
             Reachability::Unresponsive
@@ -209,28 +219,28 @@
         }
     }
 
-    /// The instances there that were heard to be leaving, newest last.
+    /// Instances on the peer's host that were reported as leaving, newest last.
     #[must_use]
-    pub fn left(&self) -> Vec<InstanceKey> {
-        self.left.borrow().clone()
+    pub fn leaving_instances(&self) -> Vec<InstanceKey> {
+        self.leaving_instances.borrow().clone()
     }
 
-    /// Takes over a description of its target.
-    pub fn describe(&self, target: Option<TargetStatus>) {
+    /// Sets the status of the peer's target; `None` if there is no target.
+    pub fn set_target(&self, target: Option<TargetStatus>) {
         if let Some(target) = &target {
-            let mut left = self.left.borrow_mut();
-            if target.state == TargetState::Leaving && !left.contains(&target.instance) {
-                if left.len() >= MOST_LEFT {
-                    left.remove(0);
+            let mut leaving = self.leaving_instances.borrow_mut();
+            if target.state == TargetState::Leaving && !leaving.contains(&target.instance) {
+                if leaving.len() >= MAX_LEAVING_INSTANCES {
+                    leaving.remove(0);
                 }
-                left.push(target.instance.clone());
+                leaving.push(target.instance.clone());
             }
         }
         self.sent_since.set(0);
         *self.target.borrow_mut() = target;
     }
 
-    /// Takes over the load that an answer carried.
+    /// Sets the load of the peer's target, as carried by a reply.
     pub fn set_target_load(&self, load: TargetLoad) {
         if let Some(target) = self.target.borrow_mut().as_mut() {
             self.sent_since.set(0);
@@ -238,20 +248,21 @@
         }
     }
 
-    /// Marks the gate as closed until it is described anew.
+    /// Marks the target as closed until its next status arrives.
     pub fn mark_closed(&self) {
         if let Some(target) = self.target.borrow_mut().as_mut() {
             target.state = TargetState::Closed;
         }
     }
 
-    /// Counts a call sent there.
+    /// Counts a call sent to the peer's target.
     pub fn count_sent(&self) {
         self.sent_since.set(self.sent_since.get() + 1);
     }
 
-    /// Its target, while the link is up, and the calls sent there since it
-    /// was described.
+    /// Status of the peer's target, and the number of calls sent to it since its last
+    /// status or load; `None` if it is not known, the link is down or the peer is
+    /// unresponsive.
     #[must_use]
     pub fn target(&self) -> Option<(TargetStatus, u32)> {
         self.link.borrow().as_ref()?;
@@ -263,24 +274,25 @@
     }
 }
 
-/// A call's use of a link; a released link stays open for as long as one lives.
+/// Guard that a call holds while it uses a link. The link of a removed peer stays
+/// open until the last guard is dropped.
 pub struct LinkGuard {
     peer: Rc<Peer>,
     clock: Rc<dyn Clock>,
 }
 
 impl LinkGuard {
-    /// Counts a call on the link to `peer`.
+    /// Registers a call on the link to `peer`.
     #[must_use]
     pub fn new(peer: &Rc<Peer>, clock: &Rc<dyn Clock>) -> LinkGuard {
-        peer.in_use.set(peer.in_use.get() + 1);
+        peer.calls_in_flight.set(peer.calls_in_flight.get() + 1);
         LinkGuard {
             peer: Rc::clone(peer),
             clock: Rc::clone(clock),
         }
     }
 
-    /// Notes that something came for the call.
+    /// Records that data arrived for the call.
     pub fn record_received(&self) {
         self.peer.record_received(self.clock.now());
     }
@@ -288,15 +300,17 @@
 
 impl Drop for LinkGuard {
     fn drop(&mut self) {
-        self.peer.in_use.set(self.peer.in_use.get() - 1);
-        if self.peer.is_done() {
-            self.peer.unused.notify_one();
+        self.peer
+            .calls_in_flight
+            .set(self.peer.calls_in_flight.get() - 1);
+        if self.peer.is_closable() {
+            self.peer.became_idle.notify_one();
         }
     }
 }
 
 impl std::fmt::Debug for LinkGuard {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(formatter, "LinkUse({})", self.peer.address.id)
+        write!(formatter, "LinkGuard({})", self.peer.address.id)
     }
 }
--- a/crates/mesh/src/peers/table.rs
+++ b/crates/mesh/src/peers/table.rs
@@ -1,4 +1,4 @@
-//! The daemons linked to, and those that link here and want news.
+//! The table of peers, and the subscribers to this daemon's news.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,82 +12,86 @@
 use super::Peer;
 use crate::messages::PeerAddress;
 
-/// A daemon that linked here and wants news.
-struct NewsWatcher {
+/// A daemon that linked to this one and subscribed to its news.
+struct NewsSubscriber {
     host: String,
     zone: String,
-    /// Whether it is told of hosts whatever its zone.
-    follows: Rc<Cell<bool>>,
-    /// When it last said that it reaches this daemon.
-    renewed: Rc<Cell<Option<Instant>>>,
+    /// Whether the subscriber gets updates of hosts although it is in another zone.
+    wants_host_updates: Rc<Cell<bool>>,
+    /// Time at which the subscriber last renewed its lease to this daemon's pool;
+    /// `None` if it has not.
+    lease_renewed_at: Rc<Cell<Option<Instant>>>,
     frames: mpsc::Sender<Bytes>,
 }
 
-/// What a daemon that linked here gets.
-pub struct NewsFeed {
-    /// Frames to pass on to it.
+/// The subscription of a daemon that linked to this one.
+pub struct NewsSubscription {
+    /// Encoded messages to send to the subscriber. The channel ends once the
+    /// subscriber is dropped for being too slow.
     pub frames: mpsc::Receiver<Bytes>,
-    /// Whether it is told of hosts whatever its zone.
-    pub follows: Rc<Cell<bool>>,
-    /// When it last said that it reaches this daemon.
-    pub renewed: Rc<Cell<Option<Instant>>>,
+    /// Whether the subscriber gets updates of hosts although it is in another zone.
+    pub wants_host_updates: Rc<Cell<bool>>,
+    /// Time at which the subscriber last renewed its lease to this daemon's pool;
+    /// `None` if it has not.
+    pub lease_renewed_at: Rc<Cell<Option<Instant>>>,
 }
 
-/// The daemons linked to, by host name, and those that want news from here.
+/// The peers by host name, and the subscribers to this daemon's news.
 #[derive(Default)]
 pub struct PeerTable {
     peers: RefCell<BTreeMap<String, Rc<Peer>>>,
-    watchers: RefCell<Vec<NewsWatcher>>,
-    /// Wakes calls that wait for a first target of their service.
+    subscribers: RefCell<Vec<NewsSubscriber>>,
+    /// Notified when the status of a peer's target has arrived; wakes calls that wait
+    /// for the first target of their service.
     pub target_updated: Notify,
 }
 
-/// Messages that may wait for one watcher; one that falls further behind is
-/// dropped, and its link with it.
-const WATCHER_QUEUE: usize = 64;
+/// Maximum number of messages queued for a subscriber. A subscriber that falls
+/// further behind is dropped together with its link.
+const SUBSCRIBER_QUEUE_MESSAGES: usize = 64;
 
 impl PeerTable {
-    /// The entry for `address`, if there is none yet or the host moved: it is
-    /// to be dialed.
+    /// Adds a peer, or replaces it if its address has changed. Returns the new peer,
+    /// which the caller has to dial; `None` if the table has it already.
     pub fn add_or_replace(&self, address: &PeerAddress) -> Option<Rc<Peer>> {
         let mut peers = self.peers.borrow_mut();
         if let Some(known) = peers.get(&address.id) {
             if known.address == *address {
                 return None;
             }
-            drop_peer(known);
+            mark_removed(known);
         }
         let peer = Peer::new(address.clone());
         peers.insert(peer.address.id.clone(), Rc::clone(&peer));
         Some(peer)
     }
 
-    /// Ends the link to a host as soon as no call uses it.
+    /// Removes the peer on host `id`. Its link is closed as soon as no call uses it.
     pub fn remove(&self, id: &str) {
         if let Some(peer) = self.peers.borrow_mut().remove(id) {
-            drop_peer(&peer);
+            mark_removed(&peer);
         }
     }
 
-    /// Every peer.
+    /// All peers.
     #[must_use]
     pub fn all(&self) -> Vec<Rc<Peer>> {
         self.peers.borrow().values().cloned().collect()
     }
 
-    /// The names of all peers.
+    /// Host names of all peers.
     #[must_use]
     pub fn ids(&self) -> Vec<String> {
         self.peers.borrow().keys().cloned().collect()
     }
 
-    /// The peer on host `id`.
+    /// The peer on host `id`; `None` if the table has none.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<Rc<Peer>> {
         self.peers.borrow().get(id).cloned()
     }
 
-    /// Number of peers with a link up.
+    /// Number of peers whose link is up.
     #[must_use]
     pub fn linked_count(&self) -> usize {
         self.peers
@@ -97,100 +101,101 @@
             .count()
     }
 
-    /// Adds a daemon that linked here and wants to hear of changes.
-    pub fn watch(&self, from: &PeerAddress) -> NewsFeed {
-        let (sender, frames) = mpsc::channel(WATCHER_QUEUE);
-        let follows = Rc::new(Cell::new(false));
-        let renewed = Rc::default();
-        let mut watchers = self.watchers.borrow_mut();
-        // A daemon that links anew counts once.
-        for before in watchers.iter().filter(|one| one.host == from.id) {
-            before.renewed.set(None);
+    /// Adds a daemon that linked to this one as a subscriber.
+    pub fn subscribe(&self, from: &PeerAddress) -> NewsSubscription {
+        let (sender, frames) = mpsc::channel(SUBSCRIBER_QUEUE_MESSAGES);
+        let wants_host_updates = Rc::new(Cell::new(false));
+        let lease_renewed_at = Rc::default();
+        let mut subscribers = self.subscribers.borrow_mut();
+        // The lease of a daemon that links again must not be counted twice.
+        for earlier in subscribers.iter().filter(|other| other.host == from.id) {
+            earlier.lease_renewed_at.set(None);
         }
-        watchers.push(NewsWatcher {
+        subscribers.push(NewsSubscriber {
             host: from.id.clone(),
             zone: from.zone.clone(),
-            follows: Rc::clone(&follows),
-            renewed: Rc::clone(&renewed),
+            wants_host_updates: Rc::clone(&wants_host_updates),
+            lease_renewed_at: Rc::clone(&lease_renewed_at),
             frames: sender,
         });
-        NewsFeed {
+        NewsSubscription {
             frames,
-            follows,
-            renewed,
+            wants_host_updates,
+            lease_renewed_at,
         }
     }
 
-    /// Number of daemons that want news from here.
+    /// Number of subscribers to this daemon's news.
     #[must_use]
     pub fn subscriber_count(&self) -> usize {
-        self.watchers.borrow().len()
+        self.subscribers.borrow().len()
     }
 
-    /// Number of daemons of `zone` that said since `since` that they reach this one.
+    /// Number of daemons of `zone` that have renewed their lease to this daemon's pool
+    /// at or after `since`.
     #[must_use]
     pub fn leased_by(&self, zone: &str, since: Instant) -> usize {
-        let watchers = self.watchers.borrow();
-        let in_zone = watchers.iter().filter(|one| one.zone == zone);
+        let subscribers = self.subscribers.borrow();
+        let in_zone = subscribers.iter().filter(|other| other.zone == zone);
         in_zone
-            .filter(|one| one.renewed.get() >= Some(since))
+            .filter(|other| other.lease_renewed_at.get() >= Some(since))
             .count()
     }
 
-    /// Tells every daemon that linked here.
+    /// Sends an encoded message to all subscribers.
     pub fn broadcast(&self, frame: &Bytes) {
-        self.watchers
+        self.subscribers
             .borrow_mut()
-            .retain(|watcher| watcher.frames.try_send(frame.clone()).is_ok());
+            .retain(|subscriber| subscriber.frames.try_send(frame.clone()).is_ok());
     }
 
-    /// Tells `most` of the daemons that linked here, drawn at random.
-    pub fn broadcast_to_random(&self, most: usize, frame: &Bytes) {
-        let mut watchers = self.watchers.borrow_mut();
-        watchers.shuffle(&mut rand::rng());
-        let mut told = 0;
-        watchers.retain(|watcher| {
-            told += 1;
-            told > most || watcher.frames.try_send(frame.clone()).is_ok()
+    /// Sends an encoded message to at most `count` subscribers, chosen at random.
+    pub fn broadcast_to_random(&self, count: usize, frame: &Bytes) {
+        let mut subscribers = self.subscribers.borrow_mut();
+        subscribers.shuffle(&mut rand::rng());
+        let mut visited = 0;
+        subscribers.retain(|subscriber| {
+            visited += 1;
+            visited > count || subscriber.frames.try_send(frame.clone()).is_ok()
         });
     }
 
-    /// `most` of the peers with a link up, drawn at random.
+    /// At most `count` of the linked peers, chosen at random.
     #[must_use]
-    pub fn random_linked(&self, most: usize) -> Vec<Rc<Peer>> {
+    pub fn random_linked(&self, count: usize) -> Vec<Rc<Peer>> {
         let mut peers = self.all();
         peers.retain(|peer| peer.is_linked());
         peers.shuffle(&mut rand::rng());
-        peers.truncate(most);
+        peers.truncate(count);
         peers
     }
 
-    /// Tells the daemons of all zones but `zone` that linked here.
+    /// Sends an encoded message to the subscribers in all zones except `zone`.
     pub fn broadcast_outside(&self, zone: &str, frame: &Bytes) {
-        self.watchers.borrow_mut().retain(|watcher| {
-            watcher.zone == zone || watcher.frames.try_send(frame.clone()).is_ok()
+        self.subscribers.borrow_mut().retain(|subscriber| {
+            subscriber.zone == zone || subscriber.frames.try_send(frame.clone()).is_ok()
         });
     }
 
-    /// Tells the daemons of `zone` that linked here.
+    /// Sends an encoded message to the subscribers in `zone`.
     pub fn broadcast_in(&self, zone: &str, frame: &Bytes) {
-        self.watchers.borrow_mut().retain(|watcher| {
-            watcher.zone != zone || watcher.frames.try_send(frame.clone()).is_ok()
+        self.subscribers.borrow_mut().retain(|subscriber| {
+            subscriber.zone != zone || subscriber.frames.try_send(frame.clone()).is_ok()
         });
     }
 
-    /// Tells the daemons that are told of hosts: those of `zone`, and readers
-    /// of others.
+    /// Sends an encoded message to the subscribers that get updates of hosts: those in
+    /// `zone`, and the readers of other zones that requested them.
     pub fn broadcast_to_followers(&self, zone: &str, frame: &Bytes) {
-        self.watchers.borrow_mut().retain(|watcher| {
-            let is_told = watcher.zone == zone || watcher.follows.get();
-            !is_told || watcher.frames.try_send(frame.clone()).is_ok()
+        self.subscribers.borrow_mut().retain(|subscriber| {
+            let is_recipient = subscriber.zone == zone || subscriber.wants_host_updates.get();
+            !is_recipient || subscriber.frames.try_send(frame.clone()).is_ok()
         });
     }
 }
 
-fn drop_peer(peer: &Peer) {
-    peer.is_dropped.set(true);
-    peer.nudge.notify_one();
-    peer.unused.notify_one();
+fn mark_removed(peer: &Peer) {
+    peer.is_removed.set(true);
+    peer.dial_now.notify_one();
+    peer.became_idle.notify_one();
 }
--- a/crates/mesh/src/serve_peers.rs
+++ b/crates/mesh/src/serve_peers.rs
@@ -1,5 +1,5 @@
-//! The listening side of the links: other daemons' calls for the target here,
-//! and the news they want ([`news`]).
+//! The listening side of links: runs other daemons' calls at the target on this host,
+//! and serves their news streams ([`news`]).
 
 mod news;
 
@@ -21,19 +21,21 @@
 use crate::stop::CallMark;
 use news::{news_path, serve_news};
 
-/// Streams that one other daemon may have open.
-const MAX_STREAMS: u32 = 2_000;
-/// Longest body that is read whole before its call is run, in bytes.
-const WHOLE_BODY: u64 = 64 * 1024;
-/// Bytes of an answer handed to a link at a time.
-const PIECE: usize = 64 * 1024;
-/// Bytes of an answer that leave between two looks at what else wants to.
-const PACED_PIECE: usize = 16 * 1024;
-/// Pause after a failed accept, so that running out of descriptors does not
-/// turn into a busy loop.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum number of streams that a peer may have open on a link.
+const MAX_CONCURRENT_STREAMS: u32 = 2_000;
+/// Maximum size of a call body that is read whole before the call runs, in bytes.
+/// Larger bodies are streamed to the target.
+const MAX_WHOLE_BODY_BYTES: u64 = 64 * 1024;
+/// Maximum number of body bytes for which HTTP/2 capacity is reserved at a time.
+const SEND_CHUNK_BYTES: usize = 64 * 1024;
+/// Maximum number of answer bytes sent before the pacer decides again which
+/// answer goes next.
+const PACED_CHUNK_BYTES: usize = 16 * 1024;
+/// Delay after a failed accept. Without it, running out of file descriptors would
+/// turn the accept loop into a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Takes links from other daemons until the process ends.
+/// Accepts links from other daemons until the process ends.
 pub async fn serve(shared: Rc<MeshShared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -47,7 +49,7 @@
             }
             Err(error) => {
                 log::warn!("event=accept_failed port=peers error=\"{error}\"");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -58,7 +60,7 @@
     let mut connection = h2::server::Builder::new()
         .initial_window_size(STREAM_WINDOW)
         .initial_connection_window_size(CONNECTION_WINDOW)
-        .max_concurrent_streams(MAX_STREAMS)
+        .max_concurrent_streams(MAX_CONCURRENT_STREAMS)
         .max_concurrent_reset_streams(64)
         .handshake(stream)
         .await?;
@@ -91,15 +93,15 @@
     let mut incoming = request.into_body();
     let mut buffer = BytesMut::new();
     let call: CallHead = loop {
-        if let Some(call) = decode_next(&mut buffer).map_err(|_| LinkError::Frame)? {
+        if let Some(call) = decode_next(&mut buffer).map_err(|_| LinkError::InvalidMessage)? {
             break call;
         }
         match next_data(&mut incoming).await {
-            Some(piece) => buffer.extend_from_slice(&piece?),
-            None => return Err(LinkError::Ended),
+            Some(data) => buffer.extend_from_slice(&data?),
+            None => return Err(LinkError::Closed),
         }
     };
-    let due = shared.clock.now() + Duration::from_micros(call.deadline_us);
+    let deadline = shared.clock.now() + Duration::from_micros(call.deadline_us);
     let work = async {
         let body = read_body(&call, incoming, buffer).await?;
         let link = shared.gate.link_time(&call);
@@ -108,14 +110,14 @@
         drop(reservation);
         Ok::<_, LinkError>(done)
     };
-    // Guards against work for a caller that has left: its daemon resets the
-    // stream, and dropping the work closes the target's connection. Looked at
-    // first: on a host that stood still for a moment, or behind a full link, a
-    // call and its reset are read at once, and the target would be sent a call
-    // that nobody waits for (8 of 16 such calls were).
+    // A call is cancelled when its caller has left: the caller's daemon resets the
+    // stream, and dropping `work` closes the connection to the target. The reset is
+    // polled first. On a host that stalled for a moment, or behind a full link, a call
+    // and its reset are read together, and the target would otherwise be sent calls
+    // that nobody waits for, as it was with 8 of 16 such calls.
     let (reply, body) = tokio::select! {
         biased;
-        _ = poll_fn(|context| respond.poll_reset(context)) => return Err(LinkError::Ended),
+        _ = poll_fn(|context| respond.poll_reset(context)) => return Err(LinkError::Closed),
         done = work => done?,
     };
     let mut outgoing = respond.send_response(Response::new(()), false)?;
@@ -126,8 +128,8 @@
             ReplyHead::Answer { head, .. } => head.body_length,
             _ => None,
         };
-        let length = AnswerLength { length, due };
-        send_body(&shared, &mut outgoing, body, length).await?;
+        let transfer = AnswerTransfer { length, deadline };
+        send_body(&shared, &mut outgoing, body, transfer).await?;
     }
     Ok(())
 }
@@ -140,49 +142,52 @@
     if !call.has_body {
         return Ok(CallBody::Whole(Bytes::new()));
     }
-    if call.body_length.is_none_or(|length| length > WHOLE_BODY) {
+    if call
+        .body_length
+        .is_none_or(|length| length > MAX_WHOLE_BODY_BYTES)
+    {
         let rest = LinkBody::new(incoming, buffer);
         return Ok(CallBody::Pieces(PieceSource::Link(rest)));
     }
-    while let Some(piece) = next_data(&mut incoming).await {
-        buffer.extend_from_slice(&piece?);
+    while let Some(data) = next_data(&mut incoming).await {
+        buffer.extend_from_slice(&data?);
     }
     if call.body_length == Some(buffer.len() as u64) {
         Ok(CallBody::Whole(buffer.freeze()))
     } else {
-        Err(LinkError::Ended)
+        Err(LinkError::Closed)
     }
 }
 
-/// What is known of a body that is to leave.
-struct AnswerLength {
-    /// Its length, where that is told ahead.
+/// What the pacer needs to know of an answer's body.
+struct AnswerTransfer {
+    /// Length of the body, in bytes; `None` if not known in advance.
     length: Option<u64>,
-    /// Until when its caller waits.
-    due: Instant,
+    /// Deadline of the call.
+    deadline: Instant,
 }
 
 async fn send_body(
     shared: &MeshShared,
     outgoing: &mut SendStream<Bytes>,
     mut body: AnswerBody,
-    AnswerLength { length, due }: AnswerLength,
+    AnswerTransfer { length, deadline }: AnswerTransfer,
 ) -> Result<(), LinkError> {
     let mut sent = 0;
     loop {
         let piece = tokio::select! {
             piece = body.next() => piece,
-            _ = poll_fn(|context| outgoing.poll_reset(context)) => return Err(LinkError::Ended),
+            _ = poll_fn(|context| outgoing.poll_reset(context)) => return Err(LinkError::Closed),
         };
         match piece {
             Ok(Some(mut piece)) => {
                 while !piece.is_empty() {
-                    let part = piece.split_to(piece.len().min(PACED_PIECE));
-                    let bytes = part.len() as u64;
-                    let left = length.unwrap_or(0).saturating_sub(sent).max(bytes);
-                    shared.egress.pace(bytes, left, due).await;
+                    let chunk = piece.split_to(piece.len().min(PACED_CHUNK_BYTES));
+                    let bytes = chunk.len() as u64;
+                    let remaining = length.unwrap_or(0).saturating_sub(sent).max(bytes);
+                    shared.egress.pace(bytes, remaining, deadline).await;
                     sent += bytes;
-                    send_body_data(outgoing, part).await?;
+                    send_body_data(outgoing, chunk).await?;
                 }
             }
             Ok(None) => {
@@ -190,30 +195,31 @@
                 return Ok(());
             }
             Err(_) => {
-                // The caller's daemon must not take a cut answer for whole.
+                // The reset keeps the caller's daemon from taking a truncated answer for
+                // a complete one.
                 outgoing.send_reset(h2::Reason::INTERNAL_ERROR);
-                return Err(LinkError::Ended);
+                return Err(LinkError::Closed);
             }
         }
     }
 }
 
-/// Sends a piece as the other side's window allows, so that a slow reader
-/// holds little memory here.
+/// Sends body data as fast as the receiver's flow-control window allows, so that a
+/// slow receiver takes little memory on this host.
 ///
 /// # Errors
-/// [`LinkError`] when the stream or its connection ended.
+/// [`LinkError`] if the stream or its connection has ended.
 pub async fn send_body_data(
     outgoing: &mut SendStream<Bytes>,
-    mut piece: Bytes,
+    mut data: Bytes,
 ) -> Result<(), LinkError> {
-    while !piece.is_empty() {
-        outgoing.reserve_capacity(piece.len().min(PIECE));
+    while !data.is_empty() {
+        outgoing.reserve_capacity(data.len().min(SEND_CHUNK_BYTES));
         let granted = poll_fn(|context| outgoing.poll_capacity(context))
             .await
-            .ok_or(LinkError::Ended)??;
-        let part = piece.split_to(granted.min(piece.len()));
-        outgoing.send_data(part, false)?;
+            .ok_or(LinkError::Closed)??;
+        let chunk = data.split_to(granted.min(data.len()));
+        outgoing.send_data(chunk, false)?;
     }
     Ok(())
 }
--- a/crates/mesh/src/serve_peers/news.rs
+++ b/crates/mesh/src/serve_peers/news.rs
@@ -1,4 +1,5 @@
-//! The news that other daemons want, and what they ask for.
+//! The listening side of the news stream: sends updates to other daemons, and
+//! responds to their requests.
 
 use std::rc::Rc;
 
@@ -9,17 +10,17 @@
 
 use crate::body::next_data;
 use crate::links::{LinkError, NEWS_PATH};
-use crate::messages::{decode_next, encode, BadMessage, LinkMessage, PeerAddress, RowChange};
+use crate::messages::{decode_next, encode, DecodeError, LinkMessage, PeerAddress, RowChange};
 use crate::organisations::tokens;
 use crate::state::MeshShared;
 use crate::versions::UntoldSteps;
 
-/// Path of the stream for news.
+/// Path of the news stream, without scheme and authority.
 pub(super) fn news_path() -> &'static str {
     NEWS_PATH.strip_prefix("http://peer").unwrap_or(NEWS_PATH)
 }
 
-/// Tells another daemon news, and hears what it asks for.
+/// Serves the news stream of another daemon until the stream ends.
 pub(super) async fn serve_news(
     shared: Rc<MeshShared>,
     request: Request<RecvStream>,
@@ -28,10 +29,13 @@
     let mut incoming = request.into_body();
     let mut outgoing = respond.send_response(Response::new(()), false)?;
     let mut buffer = BytesMut::new();
-    let Some(LinkMessage::Hello { from, to, left }) =
-        next_message(&mut incoming, &mut buffer).await?
+    let Some(LinkMessage::Hello {
+        from,
+        to,
+        leaving_instances,
+    }) = next_message(&mut incoming, &mut buffer).await?
     else {
-        return Err(LinkError::Frame);
+        return Err(LinkError::InvalidMessage);
     };
     let own = shared.own_address();
     if to != own.id {
@@ -39,33 +43,35 @@
         outgoing.send_data(encode(&LinkMessage::WrongHost(own)), true)?;
         return Ok(());
     }
-    let mut feed = shared.peers.watch(&from);
-    for key in &left {
+    let mut subscription = shared.peers.subscribe(&from);
+    for key in &leaving_instances {
         shared.gate.mark_left_before_restart(key);
     }
-    for message in first_news(&shared, &from.zone) {
+    for message in initial_news(&shared, &from.zone) {
         outgoing.send_data(encode(&message), false)?;
     }
-    heard_hello(&shared, from);
+    handle_hello(&shared, from);
     loop {
         tokio::select! {
             message = next_message(&mut incoming, &mut buffer) => match message? {
                 Some(LinkMessage::RequestHostUpdates) => {
-                    feed.follows.set(true);
+                    subscription.wants_host_updates.set(true);
                     if shared.store_state().is_current() {
-                        let sum = LinkMessage::MembersChecksum(shared.members_checksum());
-                        outgoing.send_data(encode(&sum), false)?;
+                        let checksum = LinkMessage::MembersChecksum(shared.members_checksum());
+                        outgoing.send_data(encode(&checksum), false)?;
                     }
                 }
-                Some(LinkMessage::RenewPoolLease) => feed.renewed.set(Some(shared.clock.now())),
+                Some(LinkMessage::RenewPoolLease) => subscription
+                    .lease_renewed_at
+                    .set(Some(shared.clock.now())),
                 Some(message) => {
-                    if let Some(answer) = answer_to(&shared, message) {
-                        outgoing.send_data(encode(&answer), false)?;
+                    if let Some(response) = handle_request(&shared, message) {
+                        outgoing.send_data(encode(&response), false)?;
                     }
                 }
                 None => return Ok(()),
             },
-            frame = feed.frames.recv() => match frame {
+            frame = subscription.frames.recv() => match frame {
                 Some(frame) => outgoing.send_data(frame, false)?,
                 None => return Ok(()),
             },
@@ -73,25 +79,25 @@
     }
 }
 
-/// The next message of a stream; `None` at its end. Loses nothing when it is
-/// not waited out: what was read stays in `buffer`.
+/// Reads the next message of a stream; `None` at the end of the stream. Cancel safe:
+/// data read so far stays in `buffer`.
 async fn next_message(
     incoming: &mut RecvStream,
     buffer: &mut BytesMut,
 ) -> Result<Option<LinkMessage>, LinkError> {
     loop {
-        if let Some(message) = decode_next(buffer).map_err(|_| LinkError::Frame)? {
+        if let Some(message) = decode_next(buffer).map_err(|_| LinkError::InvalidMessage)? {
             return Ok(Some(message));
         }
         match next_data(incoming).await {
-            Some(piece) => buffer.extend_from_slice(&piece?),
+            Some(data) => buffer.extend_from_slice(&data?),
             None => return Ok(None),
         }
     }
 }
 
-/// What a daemon of `zone` is told when it links here.
-fn first_news(shared: &MeshShared, zone: &str) -> Vec<LinkMessage> {
+/// Messages that a daemon of `zone` gets first when it links to this one.
+fn initial_news(shared: &MeshShared, zone: &str) -> Vec<LinkMessage> {
     let store = shared.store_state();
     let mut news = vec![
         LinkMessage::Target(shared.gate.status()),
@@ -106,25 +112,29 @@
     news.extend(shared.version_age());
     news.extend(shared.quarantine.suspects());
     news.extend(shared.all_rollouts());
-    // A restarted daemon that cannot reach the store learns here whom to call.
+    // A restarted daemon that cannot reach the store gets the hosts from the daemons that
+    // link to it.
     if !shared.members.is_known.get() {
         news.push(LinkMessage::RequestMembers);
     }
     news
 }
 
-fn heard_hello(shared: &Rc<MeshShared>, from: PeerAddress) {
+fn handle_hello(shared: &Rc<MeshShared>, from: PeerAddress) {
     let id = from.id.clone();
     shared.learn_host(from, "hello");
-    // A peer that links here is up: no reason to wait out a pause in dialing it.
+    // A peer that links to this daemon is up: it can be dialed at once, without waiting
+    // for the redial delay.
     if let Some(peer) = shared.peers.get(&id) {
         if peer.link.borrow().is_none() {
-            peer.nudge.notify_one();
+            peer.dial_now.notify_one();
         }
     }
 }
 
-fn answer_to(shared: &Rc<MeshShared>, message: LinkMessage) -> Option<LinkMessage> {
+/// Handles a message of the dialing daemon, and returns the response, if there is one
+/// to send.
+fn handle_request(shared: &Rc<MeshShared>, message: LinkMessage) -> Option<LinkMessage> {
     match message {
         LinkMessage::RequestVersion { have, or_whole } => {
             let versions = &shared.versions;
@@ -142,7 +152,7 @@
         LinkMessage::Members(list) if !shared.members.is_known.get() => {
             match list.unpack() {
                 Ok(hosts) => shared.take_members(hosts, "hello"),
-                Err(BadMessage) => log::error!("event=members_unreadable from=hello"),
+                Err(DecodeError) => log::error!("event=members_unreadable from=hello"),
             }
             None
         }
--- a/crates/mesh/src/small_server.rs
+++ b/crates/mesh/src/small_server.rs
@@ -1,5 +1,6 @@
-//! What the daemon's small listeners share: readiness, the target's reports,
-//! metrics. Calls have their own way ([`crate::ingress`]).
+//! A minimal HTTP/1.1 server for the daemon's auxiliary listeners: readiness, the
+//! target's reports and metrics. [`crate::ingress`] serves calls; it shares the accept
+//! loop.
 
 use std::future::Future;
 use std::time::Duration;
@@ -10,16 +11,19 @@
 
 use crate::sockets;
 
-/// Longest head and body of a request to a small listener, in bytes.
-const MAX_HEAD: usize = 8 * 1024;
-const MAX_BODY: usize = 64 * 1024;
-/// How long a connection may be open: whoever asks often opens the next one.
-const LONGEST: Duration = Duration::from_mins(1);
-/// Pause after a failed accept, so that running out of descriptors does not
-/// turn into a busy loop.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum size of a request head, in bytes.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Maximum lifetime of a connection. A client that sends requests regularly opens a
+/// new one.
+const MAX_CONNECTION_AGE: Duration = Duration::from_mins(1);
+/// Delay after a failed accept. Without it, running out of file descriptors would
+/// turn the accept loop into a busy loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Takes connections until the process ends and serves each in a task.
+/// Accepts connections until the process ends, and serves each in a task of its own.
+/// `port` names the listener in log lines.
 pub async fn accept_loop<F>(
     port: &'static str,
     listener: TcpListener,
@@ -34,26 +38,26 @@
             }
             Err(error) => {
                 log::warn!("event=accept_failed port={port} error=\"{error}\"");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-fn answer_bytes(answer: &SimpleResponse, keep_alive: bool) -> Vec<u8> {
+fn encode_response(response: &SimpleResponse, keep_alive: bool) -> Vec<u8> {
     let connection = if keep_alive { "keep-alive" } else { "close" };
     format!(
         "HTTP/1.1 {} {}\r\nContent-Type: {}\r\nContent-Length: {}\r\nConnection: {connection}\r\n\r\n{}",
-        answer.status,
-        reason_phrase(answer.status),
-        answer.content_type,
-        answer.body.len(),
-        answer.body
+        response.status,
+        reason_phrase(response.status),
+        response.content_type,
+        response.body.len(),
+        response.body
     )
     .into_bytes()
 }
 
-/// The usual phrase of a status.
+/// The standard reason phrase of an HTTP status code; `Unknown` if it has none.
 #[must_use]
 pub fn reason_phrase(status: u16) -> &'static str {
     http::StatusCode::from_u16(status)
@@ -62,18 +66,18 @@
         .unwrap_or("Unknown")
 }
 
-/// What a small listener answers.
+/// Response of an auxiliary listener.
 pub struct SimpleResponse {
-    /// The status.
+    /// HTTP status code.
     pub status: u16,
-    /// The type of the body.
+    /// Value of the `Content-Type` header.
     pub content_type: &'static str,
-    /// The body.
+    /// Response body.
     pub body: String,
 }
 
 impl SimpleResponse {
-    /// An answer without a body.
+    /// Creates a response without a body.
     #[must_use]
     pub fn status(status: u16) -> SimpleResponse {
         SimpleResponse {
@@ -84,33 +88,35 @@
     }
 }
 
-/// Answers the requests of one connection until it ends.
+/// Serves the requests of a connection until it ends or has reached its maximum
+/// lifetime.
 pub async fn serve_requests(
     stream: TcpStream,
-    answer: impl Fn(&RequestHead, &[u8]) -> SimpleResponse,
+    respond: impl Fn(&RequestHead, &[u8]) -> SimpleResponse,
 ) {
     sockets::set_socket_options(&stream);
-    // Whoever asks comes again; the end of one connection says nothing.
-    let _ = tokio::time::timeout(LONGEST, serve_each(stream, answer)).await;
+    // How the connection ended does not matter: clients send their next request on a
+    // new one.
+    let _ = tokio::time::timeout(MAX_CONNECTION_AGE, serve_connection(stream, respond)).await;
 }
 
-async fn serve_each(
+async fn serve_connection(
     stream: TcpStream,
-    answer: impl Fn(&RequestHead, &[u8]) -> SimpleResponse,
+    respond: impl Fn(&RequestHead, &[u8]) -> SimpleResponse,
 ) -> Result<(), ()> {
     let (read, mut write) = stream.into_split();
     let mut reader = MessageReader::new(read);
-    while let Some(raw) = reader.read_head(MAX_HEAD).await.map_err(|_| ())? {
+    while let Some(raw) = reader.read_head(MAX_HEAD_BYTES).await.map_err(|_| ())? {
         let head = RequestHead::parse(&raw).map_err(|_| ())?;
         let mut body = Vec::new();
         let mut decoder = BodyDecoder::new(head.framing);
-        while let Some(piece) = reader.read_body_data(&mut decoder).await.map_err(|_| ())? {
-            body.extend_from_slice(&piece);
-            if body.len() > MAX_BODY {
+        while let Some(data) = reader.read_body_data(&mut decoder).await.map_err(|_| ())? {
+            body.extend_from_slice(&data);
+            if body.len() > MAX_BODY_BYTES {
                 return Err(());
             }
         }
-        let bytes = answer_bytes(&answer(&head, &body), head.keep_alive);
+        let bytes = encode_response(&respond(&head, &body), head.keep_alive);
         write.write_all(&bytes).await.map_err(|_| ())?;
         if !head.keep_alive {
             break;
--- a/crates/mesh/src/sockets.rs
+++ b/crates/mesh/src/sockets.rs
@@ -1,4 +1,4 @@
-//! Sockets that notice a peer that went silent.
+//! TCP sockets that detect dead connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,40 +7,44 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Pause before and between keep-alive probes.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
-/// Probes without an answer after which a connection is dead.
-const PROBES: u32 = 2;
-/// Time that sent bytes may stay unacknowledged.
+/// Idle time before the first keep-alive probe, and time between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of unanswered keep-alive probes after which a connection is closed.
+const KEEPALIVE_PROBES: u32 = 2;
+/// Time that sent data may stay unacknowledged before the connection is closed
+/// (`TCP_USER_TIMEOUT`).
 ///
-/// Guards against connections that something between the two ends has lost
-/// track of: they take bytes for ever and give none. Two round trips of a
-/// lossy link with a lost packet fit in several times over.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1500);
-/// Queue of new connections.
-const BACKLOG: u32 = 1024;
+/// Without it, a connection whose state a middlebox has lost would accept data for
+/// ever and return none. The time is several times that of two round trips with a
+/// lost packet on a lossy link.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Maximum number of connections that wait to be accepted on a listener.
+const LISTEN_BACKLOG: u32 = 1024;
 
-/// Sets the probes and limits on a connection.
+/// Enables keep-alive probes, a limit on unacknowledged data, and `TCP_NODELAY` on a
+/// connection. A failure is logged.
 pub fn set_socket_options(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(PROBE_EVERY)
-        .with_interval(PROBE_EVERY)
-        .with_retries(PROBES);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     let outcome = socket
         .set_tcp_keepalive(&keepalive)
-        .and_then(|()| socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED)))
+        .and_then(|()| socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT)))
         .and_then(|()| socket.set_tcp_nodelay(true));
     if let Err(error) = outcome {
-        // The connection works without; only its silence is found later.
+        // The connection works without the options; it is only detected later that it is
+        // dead.
         log::warn!("event=socket_option_refused error=\"{error}\"");
     }
 }
 
-/// Connects within `timeout`.
+/// Connects to `address` and sets the options of [`set_socket_options`].
 ///
 /// # Errors
-/// The connection's error, or [`io::ErrorKind::TimedOut`].
+/// The error of the connection attempt, or [`io::ErrorKind::TimedOut`] if it takes
+/// longer than `timeout`.
 pub async fn connect(address: SocketAddr, timeout: Duration) -> io::Result<TcpStream> {
     let stream = tokio::time::timeout(timeout, TcpStream::connect(address))
         .await
@@ -49,10 +53,11 @@
     Ok(stream)
 }
 
-/// Listens at `address`; a port left by an earlier process is taken over.
+/// Listens at `address`. `SO_REUSEADDR` allows binding to a port that an earlier
+/// process has just closed.
 ///
 /// # Errors
-/// The socket's error.
+/// The error of creating, binding or listening on the socket.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()?
@@ -61,5 +66,5 @@
     };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
