--- a/crates/mesh/src/calls/attempt.rs
+++ b/crates/mesh/src/calls/attempt.rs
@@ -12,7 +12,7 @@
 
 use super::pick::{Candidate, PickedTarget};
 use crate::body::{next_data, AnswerBody, CallBody, LinkBody};
-use crate::links::CALL_PATH;
+use crate::links::CALL_URL;
 use crate::messages::{decode_next, encode, AnswerHead, CallHead, ReplyHead};
 use crate::metrics::CrossingCause;
 use crate::peers::{LinkGuard, Peer};
@@ -176,7 +176,7 @@
     let link = peer.link.borrow().clone().ok_or_else(not_sent)?;
     let link_guard = LinkGuard::new(peer, &shared.clock);
     let mut link = link.ready().await.map_err(|_| not_sent())?;
-    let request = Request::post(CALL_PATH).body(()).map_err(|_| not_sent())?;
+    let request = Request::post(CALL_URL).body(()).map_err(|_| not_sent())?;
     let (answer, mut outgoing) = link.send_request(request, false).map_err(|_| not_sent())?;
     peer.count_sent();
     let lost = |_| AttemptOutcome::Lost;
--- a/crates/mesh/src/links.rs
+++ b/crates/mesh/src/links.rs
@@ -20,9 +20,9 @@
 use crate::state::MeshShared;
 
 /// URL of the streams that carry calls.
-pub const CALL_PATH: &str = "http://peer/call";
+pub const CALL_URL: &str = "http://peer/call";
 /// URL of the news stream.
-pub const NEWS_PATH: &str = "http://peer/news";
+pub const NEWS_URL: &str = "http://peer/news";
 /// HTTP/2 flow-control window of a stream, in bytes. It is large enough that a
 /// large answer keeps flowing over the round trip between zones.
 pub const STREAM_WINDOW: u32 = 256 * 1024;
--- a/crates/mesh/src/news.rs
+++ b/crates/mesh/src/news.rs
@@ -13,7 +13,7 @@
 
 use crate::asking::VersionAsker;
 use crate::body::next_data;
-use crate::links::{LinkError, NEWS_PATH, OPEN_TIMEOUT};
+use crate::links::{LinkError, NEWS_URL, OPEN_TIMEOUT};
 use crate::messages::{decode_next, encode, LinkMessage, TargetState, TargetStatus};
 use crate::metrics::CrossingCause;
 use crate::peers::Peer;
@@ -74,7 +74,7 @@
 async fn open_stream(
     sender: SendRequest<Bytes>,
 ) -> Result<(SendStream<Bytes>, RecvStream), LinkError> {
-    let request = Request::post(NEWS_PATH)
+    let request = Request::post(NEWS_URL)
         .body(())
         .map_err(|_| LinkError::InvalidMessage)?;
     let mut sender = sender.ready().await?;
--- a/crates/mesh/src/serve_peers/news.rs
+++ b/crates/mesh/src/serve_peers/news.rs
@@ -9,7 +9,7 @@
 use http::{Request, Response};
 
 use crate::body::next_data;
-use crate::links::{LinkError, NEWS_PATH};
+use crate::links::{LinkError, NEWS_URL};
 use crate::messages::{decode_next, encode, DecodeError, LinkMessage, PeerAddress, RowChange};
 use crate::organisations::tokens;
 use crate::state::MeshShared;
@@ -17,7 +17,7 @@
 
 /// Path of the news stream, without scheme and authority.
 pub(super) fn news_path() -> &'static str {
-    NEWS_PATH.strip_prefix("http://peer").unwrap_or(NEWS_PATH)
+    NEWS_URL.strip_prefix("http://peer").unwrap_or(NEWS_URL)
 }
 
 /// Serves the news stream of another daemon until the stream ends.
