--- a/tests/mesh_links.rs
+++ b/tests/mesh_links.rs
@@ -1,4 +1,4 @@
-//! Links between daemons that fall silent and come back.
+//! Tests of links whose peer stalls and responds again.
 
 #[path = "support/users.rs"]
 mod users;
@@ -11,52 +11,54 @@
 use rstest::rstest;
 use users::{eventually, fleet, pair, Fleet, SETTLE_WITHIN};
 
-/// The daemon beside the only target stands still for a moment, long enough
-/// that its link counts as silent, or is given up. The call that runs there
-/// has nowhere else to go: it must get the answer that its target made, not a
-/// "may have run" half a second after it was sent.
+/// Guards against a call that fails although its target answers it. The daemon of
+/// the only target stalls for so long that it counts as unresponsive, or that its link
+/// is given up. The call that runs there has no other target: it must get its target's
+/// answer, not a "may have run" half a second after it was sent.
 #[rstest]
 #[case::silent("GET /read/a HTTP/1.1", 700)]
 #[case::given_up("GET /read/a HTTP/1.1", 1_400)]
 #[case::an_order("POST /order/a HTTP/1.1", 1_400)]
 #[tokio::test]
-async fn a_call_with_nowhere_to_go_outlives_a_silent_link(
+async fn a_call_without_another_target_outlives_an_unresponsive_link(
     #[case] line: &str,
-    #[case] pause_ms: u64,
+    #[case] stall_ms: u64,
 ) {
     let fleet = pair("b").await;
     let target = &fleet.hosts[1].target;
     target.set_conduct(Conduct::AnswersAfter(Duration::from_millis(200)));
     let mut client = fleet.call_under_way(line, "call-1").await;
     fleet.hosts[1].signal(Signal::SIGSTOP);
-    tokio::time::sleep(Duration::from_millis(pause_ms)).await;
+    tokio::time::sleep(Duration::from_millis(stall_ms)).await;
     fleet.hosts[1].signal(Signal::SIGCONT);
     let answer = client.answer().await.expect("an answer");
     assert_eq!(answer.status, 200, "{}", fleet.hosts[0].log());
     assert_eq!(target.runs().len(), 1);
 }
 
-/// The daemon beside one of two targets stands still, and the other target
-/// turns the call away. The first one's answer still comes and must be passed
-/// on; the call must not be ended while that target is at work on it.
+/// Guards against a call that ends while a target still runs it. The daemon of one of
+/// two targets stalls, so the call is retried at the other target, which rejects it.
+/// The answer of the first target arrives later and must reach the client.
 #[tokio::test]
-async fn a_call_turned_away_elsewhere_still_gets_its_first_answer() {
-    let fleet = three().await;
-    let (mut client, silent, other) = call_under_way(&fleet).await;
+async fn a_call_rejected_by_another_target_still_gets_its_first_answer() {
+    let fleet = three_hosts().await;
+    let (mut client, stalled, other) = call_under_way(&fleet).await;
     fleet.hosts[other].target.set_conduct(Conduct::Rejects);
-    fleet.hosts[silent].signal(Signal::SIGSTOP);
+    fleet.hosts[stalled].signal(Signal::SIGSTOP);
     tokio::time::sleep(Duration::from_millis(900)).await;
-    fleet.hosts[silent].signal(Signal::SIGCONT);
+    fleet.hosts[stalled].signal(Signal::SIGCONT);
     let answer = client.answer().await.expect("an answer");
     assert_eq!(answer.status, 200, "{}", fleet.hosts[0].log());
-    assert_eq!(runs_at(&fleet, silent), 1, "{}", fleet.hosts[0].log());
+    assert_eq!(runs_at(&fleet, stalled), 1, "{}", fleet.hosts[0].log());
 }
 
+/// Number of calls that the target on `host` has run.
 fn runs_at(fleet: &Fleet, host: usize) -> usize {
     fleet.hosts[host].target.runs().len()
 }
 
-/// Makes a call; its connection, the host it runs at, and the other.
+/// Sends a call and waits until a target runs it. Returns the client's connection, the
+/// index of the host that runs the call, and the index of the other host.
 async fn call_under_way(fleet: &Fleet) -> (Client, usize, usize) {
     let mut client = fleet.connect(0).await;
     client
@@ -72,7 +74,8 @@
     }
 }
 
-async fn three() -> Fleet {
+/// A fleet of a caller and two targets, which answer after a short delay.
+async fn three_hosts() -> Fleet {
     let routes = [RouteSpec::reads("/read/", "quotes")];
     let fleet = fleet(
         &routes,
@@ -90,15 +93,16 @@
     fleet
 }
 
-/// The daemon beside one of two targets stands still. A call that may be
-/// repeated must not wait for it: it goes to the other target at once.
+/// Guards against a call that waits for a stalled daemon. The daemon of one of two
+/// targets stalls; a call to it that may be repeated must be retried at the other
+/// target at once.
 #[tokio::test]
-async fn a_repeatable_call_leaves_a_silent_link_for_another_target() {
-    let fleet = three().await;
-    let (mut client, silent, other) = call_under_way(&fleet).await;
-    fleet.hosts[silent].signal(Signal::SIGSTOP);
+async fn a_repeatable_call_is_retried_when_its_link_is_unresponsive() {
+    let fleet = three_hosts().await;
+    let (mut client, stalled, other) = call_under_way(&fleet).await;
+    fleet.hosts[stalled].signal(Signal::SIGSTOP);
     let answer = client.answer().await.expect("an answer");
-    fleet.hosts[silent].signal(Signal::SIGCONT);
+    fleet.hosts[stalled].signal(Signal::SIGCONT);
     assert_eq!(answer.status, 200, "{}", fleet.hosts[0].log());
     assert_eq!(runs_at(&fleet, other), 1, "{}", fleet.hosts[0].log());
 }
--- a/tests/mesh_silence.rs
+++ b/tests/mesh_silence.rs
@@ -1,4 +1,4 @@
-//! A store that falls silent to some daemons and serves the others.
+//! Tests of a store that stops responding to some daemons and still serves the others.
 
 #[path = "support/users.rs"]
 mod users;
@@ -9,8 +9,8 @@
 use filbert_standin::pipe::{FaultPipe, PipeMode};
 use users::{eventually, host_spec, publish, Fleet, SETTLE_WITHIN};
 
-/// Time that an accepted version has.
-const VERSION_WITHIN: Duration = Duration::from_secs(2);
+/// Time within which an accepted version must be in force on every host.
+const IN_FORCE_WITHIN: Duration = Duration::from_secs(2);
 
 fn routes(prefix: &str) -> Vec<RouteSpec> {
     vec![
@@ -19,16 +19,19 @@
     ]
 }
 
-fn follows(host: &Host) -> bool {
+/// Whether the host's daemon gets the store's contents from an upstream, according to
+/// its log.
+fn is_follower(host: &Host) -> bool {
     let log = host.log();
     let last = log.lines().rfind(|line| line.contains("event=store_role"));
     last.is_some_and(|line| line.contains("role=Follows"))
 }
 
-/// Guards against a version that is late in a zone whose two daemons that ask the
-/// store both meet silence there.
+/// Guards against a late version in a zone. The zone's two daemons that read the store
+/// get no response from it any more; its two followers must still get the version in
+/// time.
 #[tokio::test]
-async fn a_store_silent_to_both_that_ask_delays_no_version() {
+async fn a_store_unresponsive_to_both_readers_delays_no_version() {
     let store = StandinStore::start().await;
     publish(&store, 1, &routes("/first/"));
     let mut pipes = Vec::new();
@@ -42,20 +45,24 @@
     }
     let fleet = Fleet { store, hosts };
     fleet.settle().await;
-    let told = || fleet.hosts.iter().filter(|host| follows(host)).count();
-    assert!(eventually(SETTLE_WITHIN, || async { told() == 2 }).await);
-    let told: Vec<&Host> = fleet.hosts.iter().filter(|host| follows(host)).collect();
+    let follower_count = || fleet.hosts.iter().filter(|host| is_follower(host)).count();
+    assert!(eventually(SETTLE_WITHIN, || async { follower_count() == 2 }).await);
+    let followers: Vec<&Host> = fleet
+        .hosts
+        .iter()
+        .filter(|host| is_follower(host))
+        .collect();
     for (host, pipe) in fleet.hosts.iter().zip(&pipes) {
-        if !follows(host) {
+        if !is_follower(host) {
             pipe.set_mode(PipeMode::Swallow);
         }
     }
     publish(&fleet.store, 2, &routes("/second/"));
-    for host in told {
-        let serves = eventually(VERSION_WITHIN, || async {
+    for host in followers {
+        let has_version = eventually(IN_FORCE_WITHIN, || async {
             let answer = host.call("GET /second/a HTTP/1.1", "probe", b"").await;
             answer.is_some_and(|answer| answer.status == 200)
         });
-        assert!(serves.await, "{}:\n{}", host.spec.name, host.log());
+        assert!(has_version.await, "{}:\n{}", host.spec.name, host.log());
     }
 }
