--- a/crates/mesh/src/serve_peers/news.rs
+++ b/crates/mesh/src/serve_peers/news.rs
@@ -143,8 +143,8 @@
                 Err(_) if or_whole => LinkMessage::Version {
                     deflated: versions.deflated().to_vec(),
                 },
-                Err(untold) => LinkMessage::NoSteps {
-                    are_too_large: untold == UntoldSteps::Heavy,
+                Err(reason) => LinkMessage::NoSteps {
+                    are_too_large: reason == UntoldSteps::Heavy,
                 },
             })
         }
