--- a/crates/mesh/src/body.rs
+++ b/crates/mesh/src/body.rs
@@ -7,7 +7,7 @@
 use tokio::sync::{mpsc, OwnedSemaphorePermit, Semaphore};
 use tokio::task::JoinHandle;
 
-use crate::peers::LinkUse;
+use crate::peers::LinkGuard;
 use crate::target::RunBody;
 
 /// Error: the sender of a body ended it before it was complete.
@@ -57,7 +57,7 @@
     stream: RecvStream,
     buffered: Bytes,
     /// Keeps the link open until the body has been read.
-    in_use: Option<LinkUse>,
+    link_guard: Option<LinkGuard>,
 }
 
 impl LinkBody {
@@ -67,15 +67,15 @@
         LinkBody {
             stream,
             buffered: buffered.freeze(),
-            in_use: None,
+            link_guard: None,
         }
     }
 
     /// Keeps the link open until the body is dropped.
     #[must_use]
-    pub fn with_link_guard(self, in_use: LinkUse) -> LinkBody {
+    pub fn with_link_guard(self, link_guard: LinkGuard) -> LinkBody {
         LinkBody {
-            in_use: Some(in_use),
+            link_guard: Some(link_guard),
             ..self
         }
     }
@@ -90,8 +90,8 @@
         }
         match next_data(&mut self.stream).await {
             Some(Ok(data)) => {
-                if let Some(link) = &self.in_use {
-                    link.hear();
+                if let Some(link) = &self.link_guard {
+                    link.record_received();
                 }
                 Ok(Some(data))
             }
--- a/crates/mesh/src/calls/attempt.rs
+++ b/crates/mesh/src/calls/attempt.rs
@@ -13,11 +13,11 @@
 
 use super::pick::{Destination, PickedTarget};
 use crate::body::{next_data, AnswerBody, CallBody, LinkBody};
-use crate::links::CALL_PATH;
-use crate::messages::{encode, take, AnswerHead, CallHead, ReplyHead};
+use crate::links::CALL_URL;
+use crate::messages::{decode_next, encode, AnswerHead, CallHead, ReplyHead};
 use crate::metrics::CrossingCause;
-use crate::peers::{LinkUse, Peer};
-use crate::serve_peers::send_piece;
+use crate::peers::{LinkGuard, Peer};
+use crate::serve_peers::send_body_data;
 use crate::state::MeshShared;
 
 /// Number of bytes of an answer's body that are read before its head is forwarded.
@@ -115,12 +115,12 @@
         },
     };
     match reply {
-        ReplyHead::Declined { room_us, .. } => AttemptOutcome::Declined {
-            room_in: Duration::from_micros(room_us),
+        ReplyHead::Declined { room_in_us, .. } => AttemptOutcome::Declined {
+            room_in: Duration::from_micros(room_in_us),
         },
         ReplyHead::Rejected { .. } => AttemptOutcome::Rejected,
-        ReplyHead::HeldBack { left_us, .. } => AttemptOutcome::HeldBack {
-            remaining_hold: Duration::from_micros(left_us),
+        ReplyHead::HeldBack { remaining_us, .. } => AttemptOutcome::HeldBack {
+            remaining_hold: Duration::from_micros(remaining_us),
         },
         ReplyHead::Lost { ended, .. } => {
             if let Some(crash) = ended {
@@ -128,11 +128,15 @@
             }
             AttemptOutcome::Lost
         }
-        ReplyHead::Answer { head, ran_us, .. } => match body.read_ahead(READ_AHEAD_BYTES).await {
+        ReplyHead::Answer {
+            head,
+            time_to_head_us,
+            ..
+        } => match body.read_ahead(READ_AHEAD_BYTES).await {
             Ok(body) => AttemptOutcome::Answer {
                 head,
                 body,
-                time_to_head: Duration::from_micros(ran_us),
+                time_to_head: Duration::from_micros(time_to_head_us),
             },
             Err(_) => AttemptOutcome::Lost,
         },
@@ -156,7 +160,7 @@
         | ReplyHead::Rejected { load }
         | ReplyHead::HeldBack { load, .. }
         | ReplyHead::Lost { load, .. }
-        | ReplyHead::Answer { load, .. } => peer.describe_load(*load),
+        | ReplyHead::Answer { load, .. } => peer.set_target_load(*load),
     }
 }
 
@@ -175,9 +179,9 @@
         room_in: Duration::ZERO,
     };
     let link = peer.link.borrow().clone().ok_or_else(not_sent)?;
-    let in_use = LinkUse::new(peer, &shared.clock);
+    let link_guard = LinkGuard::new(peer, &shared.clock);
     let mut link = link.ready().await.map_err(|_| not_sent())?;
-    let request = Request::post(CALL_PATH).body(()).map_err(|_| not_sent())?;
+    let request = Request::post(CALL_URL).body(()).map_err(|_| not_sent())?;
     let (response, mut outgoing) = link.send_request(request, false).map_err(|_| not_sent())?;
     peer.count_sent();
     let lost = |_| AttemptOutcome::Lost;
@@ -186,7 +190,7 @@
         let mut buffer = BytesMut::new();
         loop {
             let buffered_before = buffer.len();
-            match take::<ReplyHead>(&mut buffer) {
+            match decode_next::<ReplyHead>(&mut buffer) {
                 Ok(Some(reply)) => {
                     let body_length = match &reply {
                         ReplyHead::Answer { head, .. } => head.body_length.unwrap_or(0),
@@ -220,7 +224,7 @@
                 outgoing.send_data(encode(head), false).map_err(|_| ())?;
                 while let Some(data) = source.next().await.map_err(|_| ())? {
                     shared.count_crossing(peer, CrossingCause::Call, data.len());
-                    send_piece(&mut outgoing, data).await.map_err(|_| ())?;
+                    send_body_data(&mut outgoing, data).await.map_err(|_| ())?;
                 }
                 outgoing.send_data(Bytes::new(), true).map_err(|_| ())?;
             }
@@ -239,13 +243,13 @@
             },
             result = &mut reply => break result,
             () = tokio::time::sleep(PING_IDLE_TIME) => {
-                peer.doubt(shared.clock.now(), PING_IDLE_TIME);
+                peer.request_ping_if_idle(shared.clock.now(), PING_IDLE_TIME);
             }
         }
     };
-    peer.hear(shared.clock.now());
+    peer.record_received(shared.clock.now());
     match result.map_err(lost)? {
-        Some((reply, body)) => Ok((reply, AnswerBody::Link(body.with_link_guard(in_use)))),
+        Some((reply, body)) => Ok((reply, AnswerBody::Link(body.with_link_guard(link_guard)))),
         None => Err(AttemptOutcome::Lost),
     }
 }
--- a/crates/mesh/src/calls/dispatch.rs
+++ b/crates/mesh/src/calls/dispatch.rs
@@ -18,7 +18,7 @@
 use super::pick::{pick_target, Destination, PickedTarget};
 use super::{ClientAnswer, ClientCall, MIN_SERVER_ERROR};
 use crate::body::AnswerBody;
-use crate::messages::{micros, AnswerHead, CallHead};
+use crate::messages::{to_micros, AnswerHead, CallHead};
 use crate::quarantine::ProbePermit;
 use crate::state::MeshShared;
 use ending::attempt_end_label;
@@ -135,8 +135,9 @@
             let now = self.shared.clock.now();
             let ends_by = self.shared.stop.ends_by().unwrap_or(self.deadline);
             let deadline = self.deadline.min(ends_by);
-            self.head.left_us = micros(deadline.saturating_duration_since(now));
-            self.head.aim_us = micros(self.soft_deadline.saturating_duration_since(now));
+            self.head.deadline_us = to_micros(deadline.saturating_duration_since(now));
+            self.head.soft_deadline_us =
+                to_micros(self.soft_deadline.saturating_duration_since(now));
             if !self.passes_quarantine() {
                 return self.finish(stalled_attempts).await;
             }
@@ -196,7 +197,7 @@
     /// have started during the previous one.
     fn passes_quarantine(&mut self) -> bool {
         let quarantine = &self.shared.quarantine;
-        let expected_run_time = self.head.usual_run.map(RunTime::from);
+        let expected_run_time = self.head.expected_run_time.map(RunTime::from);
         match quarantine.quarantine_state(self.head.identity) {
             QuarantineState::Unrestricted => return true,
             QuarantineState::ProbeInFlight if self.probe.is_some() => return true,
@@ -229,12 +230,12 @@
         }
         let until = self.deadline.min(now + FIRST_LINK_TIMEOUT);
         loop {
-            let described = self.shared.peers.described.notified();
+            let target_updated = self.shared.peers.target_updated.notified();
             if pick_target(self.shared, self.route, &self.head, &[]).is_some() {
                 return;
             }
             tokio::select! {
-                () = described => {}
+                () = target_updated => {}
                 () = tokio::time::sleep_until(until.into()) => return,
             }
         }
@@ -371,6 +372,6 @@
 async fn wait_until_unresponsive(destination: &Destination) {
     match destination {
         Destination::Local => std::future::pending().await,
-        Destination::Peer(peer) => peer.fell_silent.notified().await,
+        Destination::Peer(peer) => peer.became_unresponsive.notified().await,
     }
 }
--- a/crates/mesh/src/calls/dispatch/ending.rs
+++ b/crates/mesh/src/calls/dispatch/ending.rs
@@ -70,7 +70,7 @@
         let delay = if self.last_end == Some(AttemptEnd::Rejected) {
             let run_time = self
                 .head
-                .usual_run
+                .expected_run_time
                 .map_or(NO_TARGET_RETRY_AFTER, |expected_run_time| {
                     RunTime::from(expected_run_time).mean
                 });
--- a/crates/mesh/src/calls/pick.rs
+++ b/crates/mesh/src/calls/pick.rs
@@ -58,7 +58,7 @@
         .borrow()
         .get(&route.name)
         .map_or(0.0, |history| history.answer_kib);
-    let expected_run_time = head.usual_run.map(RunTime::from);
+    let expected_run_time = head.expected_run_time.map(RunTime::from);
     let transfer_kib = answer_kib + bytes_to_kib(head.body_length.unwrap_or(0));
     let mut candidates = Vec::new();
     if let Some(status) = shared.gate.status() {
@@ -101,8 +101,8 @@
     }
     let request = PlacementRequest {
         transfer_kib,
-        soft_deadline_ms: micros_to_millis(head.aim_us),
-        deadline_ms: micros_to_millis(head.left_us),
+        soft_deadline_ms: micros_to_millis(head.soft_deadline_us),
+        deadline_ms: micros_to_millis(head.deadline_us),
         zone_has_target: false,
         is_above_lowest_priority: head.priority < shared.current_index().lowest_priority(),
     };
--- a/crates/mesh/src/ingress/mod.rs
+++ b/crates/mesh/src/ingress/mod.rs
@@ -20,7 +20,7 @@
 use crate::calls::{self, ClientAnswer, ClientCall};
 use crate::egress::EgressPacer;
 use crate::messages::AnswerHead;
-use crate::small_server::{accept_for_ever, reason_phrase};
+use crate::small_server::{accept_loop, reason_phrase};
 use crate::sockets;
 use crate::state::MeshShared;
 use crate::stop::CallMark;
@@ -42,7 +42,7 @@
 
 /// Accepts and serves clients' connections until the process ends.
 pub async fn serve(shared: Rc<MeshShared>, listener: TcpListener) {
-    accept_for_ever("calls", listener, |stream| {
+    accept_loop("calls", listener, |stream| {
         serve_connection(Rc::clone(&shared), stream)
     })
     .await;
@@ -77,7 +77,7 @@
 }
 
 async fn serve_connection(shared: Rc<MeshShared>, stream: TcpStream) {
-    sockets::watch_silence(&stream);
+    sockets::set_socket_options(&stream);
     let (read, write) = stream.into_split();
     let state = ConnectionState {
         pending: RefCell::new(VecDeque::new()),
--- /dev/null
+++ b/crates/mesh/src/peers/table.rs
@@ -0,0 +1,201 @@
+//! The table of peers, and the subscribers to this daemon's news.
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::Instant;
+
+use bytes::Bytes;
+use rand::seq::SliceRandom;
+use tokio::sync::{mpsc, Notify};
+
+use super::Peer;
+use crate::messages::PeerAddress;
+
+/// A daemon that linked to this one and subscribed to its news.
+struct NewsSubscriber {
+    host: String,
+    zone: String,
+    /// Whether the subscriber gets updates of hosts although it is in another zone.
+    wants_host_updates: Rc<Cell<bool>>,
+    /// Time at which the subscriber last renewed its lease to this daemon's pool;
+    /// `None` if it has not.
+    lease_renewed_at: Rc<Cell<Option<Instant>>>,
+    frames: mpsc::Sender<Bytes>,
+}
+
+/// The subscription of a daemon that linked to this one.
+pub struct NewsSubscription {
+    /// Encoded messages to send to the subscriber. The channel ends once the
+    /// subscriber is dropped for being too slow.
+    pub frames: mpsc::Receiver<Bytes>,
+    /// Whether the subscriber gets updates of hosts although it is in another zone.
+    pub wants_host_updates: Rc<Cell<bool>>,
+    /// Time at which the subscriber last renewed its lease to this daemon's pool;
+    /// `None` if it has not.
+    pub lease_renewed_at: Rc<Cell<Option<Instant>>>,
+}
+
+/// The peers by host name, and the subscribers to this daemon's news.
+#[derive(Default)]
+pub struct PeerTable {
+    peers: RefCell<BTreeMap<String, Rc<Peer>>>,
+    subscribers: RefCell<Vec<NewsSubscriber>>,
+    /// Notified when the status of a peer's target has arrived; wakes calls that wait
+    /// for the first target of their service.
+    pub target_updated: Notify,
+}
+
+/// Maximum number of messages queued for a subscriber. A subscriber that falls
+/// further behind is dropped together with its link.
+const SUBSCRIBER_QUEUE_MESSAGES: usize = 64;
+
+impl PeerTable {
+    /// Adds a peer, or replaces it if its address has changed. Returns the new peer,
+    /// which the caller has to dial; `None` if the table has it already.
+    pub fn add_or_replace(&self, address: &PeerAddress) -> Option<Rc<Peer>> {
+        let mut peers = self.peers.borrow_mut();
+        if let Some(known) = peers.get(&address.id) {
+            if known.address == *address {
+                return None;
+            }
+            mark_removed(known);
+        }
+        let peer = Peer::new(address.clone());
+        peers.insert(peer.address.id.clone(), Rc::clone(&peer));
+        Some(peer)
+    }
+
+    /// Removes the peer on host `id`. Its link is closed as soon as no call uses it.
+    pub fn remove(&self, id: &str) {
+        if let Some(peer) = self.peers.borrow_mut().remove(id) {
+            mark_removed(&peer);
+        }
+    }
+
+    /// All peers.
+    #[must_use]
+    pub fn all(&self) -> Vec<Rc<Peer>> {
+        self.peers.borrow().values().cloned().collect()
+    }
+
+    /// Host names of all peers.
+    #[must_use]
+    pub fn ids(&self) -> Vec<String> {
+        self.peers.borrow().keys().cloned().collect()
+    }
+
+    /// The peer on host `id`; `None` if the table has none.
+    #[must_use]
+    pub fn get(&self, id: &str) -> Option<Rc<Peer>> {
+        self.peers.borrow().get(id).cloned()
+    }
+
+    /// Number of peers whose link is up.
+    #[must_use]
+    pub fn linked_count(&self) -> usize {
+        self.peers
+            .borrow()
+            .values()
+            .filter(|peer| peer.link.borrow().is_some())
+            .count()
+    }
+
+    /// Adds a daemon that linked to this one as a subscriber.
+    pub fn subscribe(&self, from: &PeerAddress) -> NewsSubscription {
+        let (sender, frames) = mpsc::channel(SUBSCRIBER_QUEUE_MESSAGES);
+        let wants_host_updates = Rc::new(Cell::new(false));
+        let lease_renewed_at = Rc::default();
+        let mut subscribers = self.subscribers.borrow_mut();
+        // The lease of a daemon that links again must not be counted twice.
+        for earlier in subscribers.iter().filter(|other| other.host == from.id) {
+            earlier.lease_renewed_at.set(None);
+        }
+        subscribers.push(NewsSubscriber {
+            host: from.id.clone(),
+            zone: from.zone.clone(),
+            wants_host_updates: Rc::clone(&wants_host_updates),
+            lease_renewed_at: Rc::clone(&lease_renewed_at),
+            frames: sender,
+        });
+        NewsSubscription {
+            frames,
+            wants_host_updates,
+            lease_renewed_at,
+        }
+    }
+
+    /// Number of subscribers to this daemon's news.
+    #[must_use]
+    pub fn subscriber_count(&self) -> usize {
+        self.subscribers.borrow().len()
+    }
+
+    /// Number of daemons of `zone` that have renewed their lease to this daemon's pool
+    /// at or after `since`.
+    #[must_use]
+    pub fn leased_by(&self, zone: &str, since: Instant) -> usize {
+        let subscribers = self.subscribers.borrow();
+        let in_zone = subscribers.iter().filter(|other| other.zone == zone);
+        in_zone
+            .filter(|other| other.lease_renewed_at.get() >= Some(since))
+            .count()
+    }
+
+    /// Sends an encoded message to all subscribers.
+    pub fn broadcast(&self, frame: &Bytes) {
+        self.subscribers
+            .borrow_mut()
+            .retain(|subscriber| subscriber.frames.try_send(frame.clone()).is_ok());
+    }
+
+    /// Sends an encoded message to at most `count` subscribers, chosen at random.
+    pub fn broadcast_to_random(&self, count: usize, frame: &Bytes) {
+        let mut subscribers = self.subscribers.borrow_mut();
+        subscribers.shuffle(&mut rand::rng());
+        let mut visited = 0;
+        subscribers.retain(|subscriber| {
+            visited += 1;
+            visited > count || subscriber.frames.try_send(frame.clone()).is_ok()
+        });
+    }
+
+    /// At most `count` of the linked peers, chosen at random.
+    #[must_use]
+    pub fn random_linked(&self, count: usize) -> Vec<Rc<Peer>> {
+        let mut peers = self.all();
+        peers.retain(|peer| peer.is_linked());
+        peers.shuffle(&mut rand::rng());
+        peers.truncate(count);
+        peers
+    }
+
+    /// Sends an encoded message to the subscribers in all zones except `zone`.
+    pub fn broadcast_outside(&self, zone: &str, frame: &Bytes) {
+        self.subscribers.borrow_mut().retain(|subscriber| {
+            subscriber.zone == zone || subscriber.frames.try_send(frame.clone()).is_ok()
+        });
+    }
+
+    /// Sends an encoded message to the subscribers in `zone`.
+    pub fn broadcast_in(&self, zone: &str, frame: &Bytes) {
+        self.subscribers.borrow_mut().retain(|subscriber| {
+            subscriber.zone != zone || subscriber.frames.try_send(frame.clone()).is_ok()
+        });
+    }
+
+    /// Sends an encoded message to the subscribers that get updates of hosts: those in
+    /// `zone`, and the readers of other zones that requested them.
+    pub fn broadcast_to_followers(&self, zone: &str, frame: &Bytes) {
+        self.subscribers.borrow_mut().retain(|subscriber| {
+            let is_recipient = subscriber.zone == zone || subscriber.wants_host_updates.get();
+            !is_recipient || subscriber.frames.try_send(frame.clone()).is_ok()
+        });
+    }
+}
+
+fn mark_removed(peer: &Peer) {
+    peer.is_removed.set(true);
+    peer.dial_now.notify_one();
+    peer.became_idle.notify_one();
+}
--- a/crates/mesh/src/serve_peers/news.rs
+++ b/crates/mesh/src/serve_peers/news.rs
@@ -1,4 +1,5 @@
-//! The news that other daemons want, and what they ask for.
+//! The listening side of the news stream: sends updates to other daemons, and
+//! responds to their requests.
 
 use std::rc::Rc;
 
@@ -8,18 +9,18 @@
 use http::{Request, Response};
 
 use crate::body::next_data;
-use crate::links::{LinkError, NEWS_PATH};
-use crate::messages::{encode, take, BadMessage, LinkMessage, PeerAddress, RowChange};
+use crate::links::{LinkError, NEWS_URL};
+use crate::messages::{decode_next, encode, DecodeError, LinkMessage, PeerAddress, RowChange};
 use crate::organisations::tokens;
 use crate::state::MeshShared;
 use crate::versions::UntoldSteps;
 
-/// Path of the stream for news.
+/// Path of the news stream, without scheme and authority.
 pub(super) fn news_path() -> &'static str {
-    NEWS_PATH.strip_prefix("http://peer").unwrap_or(NEWS_PATH)
+    NEWS_URL.strip_prefix("http://peer").unwrap_or(NEWS_URL)
 }
 
-/// Tells another daemon news, and hears what it asks for.
+/// Serves the news stream of another daemon until the stream ends.
 pub(super) async fn serve_news(
     shared: Rc<MeshShared>,
     request: Request<RecvStream>,
@@ -28,44 +29,49 @@
     let mut incoming = request.into_body();
     let mut outgoing = respond.send_response(Response::new(()), false)?;
     let mut buffer = BytesMut::new();
-    let Some(LinkMessage::Hello { from, to, left }) =
-        next_message(&mut incoming, &mut buffer).await?
+    let Some(LinkMessage::Hello {
+        from,
+        to,
+        leaving_instances,
+    }) = next_message(&mut incoming, &mut buffer).await?
     else {
-        return Err(LinkError::Frame);
+        return Err(LinkError::InvalidMessage);
     };
     let own = shared.own_address();
     if to != own.id {
         log::info!("event=host_meant_not_here host={to} from={}", from.id);
-        outgoing.send_data(encode(&LinkMessage::NotHere(own)), true)?;
+        outgoing.send_data(encode(&LinkMessage::WrongHost(own)), true)?;
         return Ok(());
     }
-    let mut feed = shared.peers.watch(&from);
-    for key in &left {
+    let mut subscription = shared.peers.subscribe(&from);
+    for key in &leaving_instances {
         shared.gate.mark_left_before_restart(key);
     }
-    for message in first_news(&shared, &from.zone) {
+    for message in initial_news(&shared, &from.zone) {
         outgoing.send_data(encode(&message), false)?;
     }
-    heard_hello(&shared, from);
+    handle_hello(&shared, from);
     loop {
         tokio::select! {
             message = next_message(&mut incoming, &mut buffer) => match message? {
-                Some(LinkMessage::Follow) => {
-                    feed.follows.set(true);
+                Some(LinkMessage::RequestHostUpdates) => {
+                    subscription.wants_host_updates.set(true);
                     if shared.store_state().is_current() {
-                        let sum = LinkMessage::MembersSum(shared.members_sum());
-                        outgoing.send_data(encode(&sum), false)?;
+                        let checksum = LinkMessage::MembersChecksum(shared.members_checksum());
+                        outgoing.send_data(encode(&checksum), false)?;
                     }
                 }
-                Some(LinkMessage::RenewPool) => feed.renewed.set(Some(shared.clock.now())),
+                Some(LinkMessage::RenewPoolLease) => subscription
+                    .lease_renewed_at
+                    .set(Some(shared.clock.now())),
                 Some(message) => {
-                    if let Some(answer) = answer_to(&shared, message) {
-                        outgoing.send_data(encode(&answer), false)?;
+                    if let Some(response) = handle_request(&shared, message) {
+                        outgoing.send_data(encode(&response), false)?;
                     }
                 }
                 None => return Ok(()),
             },
-            frame = feed.frames.recv() => match frame {
+            frame = subscription.frames.recv() => match frame {
                 Some(frame) => outgoing.send_data(frame, false)?,
                 None => return Ok(()),
             },
@@ -73,25 +79,25 @@
     }
 }
 
-/// The next message of a stream; `None` at its end. Loses nothing when it is
-/// not waited out: what was read stays in `buffer`.
+/// Reads the next message of a stream; `None` at the end of the stream. Cancel safe:
+/// data read so far stays in `buffer`.
 async fn next_message(
     incoming: &mut RecvStream,
     buffer: &mut BytesMut,
 ) -> Result<Option<LinkMessage>, LinkError> {
     loop {
-        if let Some(message) = take(buffer).map_err(|_| LinkError::Frame)? {
+        if let Some(message) = decode_next(buffer).map_err(|_| LinkError::InvalidMessage)? {
             return Ok(Some(message));
         }
         match next_data(incoming).await {
-            Some(piece) => buffer.extend_from_slice(&piece?),
+            Some(data) => buffer.extend_from_slice(&data?),
             None => return Ok(None),
         }
     }
 }
 
-/// What a daemon of `zone` is told when it links here.
-fn first_news(shared: &MeshShared, zone: &str) -> Vec<LinkMessage> {
+/// Messages that a daemon of `zone` gets first when it links to this one.
+fn initial_news(shared: &MeshShared, zone: &str) -> Vec<LinkMessage> {
     let store = shared.store_state();
     let mut news = vec![
         LinkMessage::Target(shared.gate.status()),
@@ -100,60 +106,64 @@
         },
     ];
     if store.is_current() && zone == shared.settings.borrow().zone {
-        news.push(LinkMessage::MembersSum(shared.members_sum()));
+        news.push(LinkMessage::MembersChecksum(shared.members_checksum()));
     }
     news.push(LinkMessage::Store(store));
     news.extend(shared.version_age());
     news.extend(shared.quarantine.suspects());
     news.extend(shared.all_rollouts());
-    // A restarted daemon that cannot reach the store learns here whom to call.
+    // A restarted daemon that cannot reach the store gets the hosts from the daemons that
+    // link to it.
     if !shared.members.is_known.get() {
-        news.push(LinkMessage::WantMembers);
+        news.push(LinkMessage::RequestMembers);
     }
     news
 }
 
-fn heard_hello(shared: &Rc<MeshShared>, from: PeerAddress) {
+fn handle_hello(shared: &Rc<MeshShared>, from: PeerAddress) {
     let id = from.id.clone();
     shared.learn_host(from, "hello");
-    // A peer that links here is up: no reason to wait out a pause in dialing it.
+    // A peer that links to this daemon is up: it can be dialed at once, without waiting
+    // for the redial delay.
     if let Some(peer) = shared.peers.get(&id) {
         if peer.link.borrow().is_none() {
-            peer.nudge.notify_one();
+            peer.dial_now.notify_one();
         }
     }
 }
 
-fn answer_to(shared: &Rc<MeshShared>, message: LinkMessage) -> Option<LinkMessage> {
+/// Handles a message of the dialing daemon, and returns the response, if there is one
+/// to send.
+fn handle_request(shared: &Rc<MeshShared>, message: LinkMessage) -> Option<LinkMessage> {
     match message {
-        LinkMessage::WantVersion { have, or_whole } => {
+        LinkMessage::RequestVersion { have, or_whole } => {
             let versions = &shared.versions;
             Some(match versions.steps_from(have) {
                 Ok(steps) => LinkMessage::Steps { steps },
                 Err(_) if or_whole => LinkMessage::Version {
                     deflated: versions.deflated().to_vec(),
                 },
-                Err(untold) => LinkMessage::NoSteps {
-                    are_heavy: untold == UntoldSteps::Heavy,
+                Err(reason) => LinkMessage::NoSteps {
+                    are_too_large: reason == UntoldSteps::Heavy,
                 },
             })
         }
-        LinkMessage::WantMembers => Some(shared.member_list()),
+        LinkMessage::RequestMembers => Some(shared.member_list()),
         LinkMessage::Members(list) if !shared.members.is_known.get() => {
             match list.decompress() {
                 Ok(hosts) => shared.take_members(hosts, "hello"),
-                Err(BadMessage) => log::error!("event=members_unreadable from=hello"),
+                Err(DecodeError) => log::error!("event=members_unreadable from=hello"),
             }
             None
         }
-        LinkMessage::WantRow {
+        LinkMessage::RequestRowChange {
             change,
-            is_passed_on,
+            is_forwarded,
         } => {
             if let RowChange::Write(address) = &change {
                 shared.learn_host(address.clone(), "hello");
             }
-            if is_passed_on {
+            if is_forwarded {
                 shared.members.rows.want(change);
             } else {
                 shared.see_to_row(change, true);
@@ -172,24 +182,24 @@
             shared.hear_tallies(tallies);
             None
         }
-        LinkMessage::WantTokens {
-            ask,
+        LinkMessage::RequestTokens {
+            request_id,
             organisation,
             wanted,
-        } => Some(tokens::answer(shared, ask, &organisation, wanted)),
-        LinkMessage::WantClock { asked_us } => shared.store_clock(asked_us),
+        } => Some(tokens::answer(shared, request_id, &organisation, wanted)),
+        LinkMessage::RequestClock { asked_us } => shared.store_clock(asked_us),
         LinkMessage::Hello { .. }
-        | LinkMessage::NotHere(_)
-        | LinkMessage::Follow
-        | LinkMessage::RenewPool
-        | LinkMessage::VersionAge(_)
+        | LinkMessage::WrongHost(_)
+        | LinkMessage::RequestHostUpdates
+        | LinkMessage::RenewPoolLease
+        | LinkMessage::VersionConfirmation(_)
         | LinkMessage::StoreClock { .. }
-        | LinkMessage::Tokens { .. }
+        | LinkMessage::GrantTokens { .. }
         | LinkMessage::Members(_)
-        | LinkMessage::MembersSum(_)
+        | LinkMessage::MembersChecksum(_)
         | LinkMessage::HostsChanged(_)
         | LinkMessage::Store(_)
-        | LinkMessage::HeavyVersion
+        | LinkMessage::OversizedVersion
         | LinkMessage::Target(_)
         | LinkMessage::InForce { .. }
         | LinkMessage::Steps { .. }
