--- a/crates/mesh/src/gate/run.rs
+++ b/crates/mesh/src/gate/run.rs
@@ -15,7 +15,7 @@
 use crate::logging::LineWeight;
 use crate::messages::{micros, AnswerHead, CallHead, ReplyHead};
 use crate::quarantine::AgedCrash;
-use crate::rollouts::tally::{RunTold, RunWatch};
+use crate::rollouts::counters::{RunTold, RunWatch};
 use crate::target::{ExchangeEnd, ExchangeTerms};
 
 /// From this status on an answer is the target's failure.
--- a/crates/mesh/src/messages.rs
+++ b/crates/mesh/src/messages.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::quarantine::SuspectCall;
-use crate::rollouts::news::{RolloutNews, TargetTally};
+use crate::rollouts::messages::{RolloutNews, TargetTally};
 use crate::text_delta::TextDelta;
 
 pub use calls::{AnswerHead, CallHead, ReplyHead, UsualRun};
--- a/crates/mesh/src/organisations/mod.rs
+++ b/crates/mesh/src/organisations/mod.rs
@@ -1,9 +1,9 @@
 //! Organisations at the daemon: whose a call is by its key, how old the knowledge
-//! behind that is ([`age`]), and whether the organisation may run one more
+//! behind that is ([`freshness`]), and whether the organisation may run one more
 //! ([`tokens`]).
 
-pub mod age;
 pub mod counts;
+pub mod freshness;
 pub mod tokens;
 
 use std::cell::{Cell, RefCell};
--- a/crates/mesh/src/rollouts/tally.rs
+++ b/crates/mesh/src/rollouts/counters.rs
@@ -8,7 +8,7 @@
 use filbert_policy::clock::Clock;
 use filbert_policy::rollout::judge::CallCounts;
 
-use super::news::{KindTally, TargetTally};
+use super::messages::{KindTally, TargetTally};
 use super::RolloutBook;
 
 /// Kinds of call counted apart; more are counted together.
--- a/crates/mesh/src/rollouts/decide.rs
+++ b/crates/mesh/src/rollouts/decide.rs
@@ -9,7 +9,7 @@
 use filbert_policy::rollout::schedule::{ExposureBudget, RolloutView, TrialPlacement};
 use twox_hash::XxHash64;
 
-use super::tally::HeardTally;
+use super::counters::HeardTally;
 use super::{DecisionTerms, RolloutEntry};
 use crate::state::MeshShared;
 
--- a/crates/mesh/src/rollouts/mod.rs
+++ b/crates/mesh/src/rollouts/mod.rs
@@ -1,17 +1,17 @@
 //! Roll-outs as this daemon knows them: the book of notes, which calls and
 //! gates keep to, and the counters that verdicts rest on.
 //!
-//! [`news`] is what daemons tell each other, [`spread`] how it travels,
-//! [`decide`] and [`record`] are the work of the daemons that ask the store for
+//! [`messages`] is what daemons tell each other, [`replication`] how it travels,
+//! [`decide`] and [`row_writer`] are the work of the daemons that ask the store for
 //! the fleet.
 
+pub mod counters;
 pub mod decide;
 mod entry;
-pub mod news;
-pub mod record;
+pub mod messages;
+pub mod replication;
 pub mod row;
-pub mod spread;
-pub mod tally;
+pub mod row_writer;
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -25,10 +25,10 @@
 use tokio::sync::Notify;
 
 use crate::metrics::MeshMetrics;
+use counters::{GateTally, HeardTallies};
 use entry::RecordUpdate;
 pub use entry::RolloutEntry;
 use row::RolloutRow;
-use tally::{GateTally, HeardTallies};
 
 /// The book that the daemon's parts share.
 pub struct RolloutBook {
--- a/crates/mesh/src/rollouts/spread.rs
+++ b/crates/mesh/src/rollouts/replication.rs
@@ -6,7 +6,7 @@
 use crate::messages::{encode, LinkMessage};
 use crate::state::MeshShared;
 
-use super::news::{RolloutNews, TargetTally};
+use super::messages::{RolloutNews, TargetTally};
 
 /// Pause between two tallies of a gate. With the way over a reader, evidence is
 /// at the deciders within twice this.
--- a/crates/mesh/src/shell.rs
+++ b/crates/mesh/src/shell.rs
@@ -166,11 +166,19 @@
     spawn(Box::pin(Rc::clone(&shared.gate).keep_settled()));
     spawn(Box::pin(status::keep_told(Rc::clone(shared))));
     spawn(Box::pin(quarantine::keep_told(Rc::clone(shared))));
-    spawn(Box::pin(rollouts::spread::keep_told(Rc::clone(shared))));
-    spawn(Box::pin(rollouts::spread::keep_gate(Rc::clone(shared))));
-    spawn(Box::pin(rollouts::spread::keep_counted(Rc::clone(shared))));
+    spawn(Box::pin(rollouts::replication::keep_told(Rc::clone(
+        shared,
+    ))));
+    spawn(Box::pin(rollouts::replication::keep_gate(Rc::clone(
+        shared,
+    ))));
+    spawn(Box::pin(rollouts::replication::keep_counted(Rc::clone(
+        shared,
+    ))));
     spawn(Box::pin(rollouts::decide::keep_decided(Rc::clone(shared))));
-    spawn(Box::pin(rollouts::record::keep_recorded(Rc::clone(shared))));
+    spawn(Box::pin(rollouts::row_writer::keep_recorded(Rc::clone(
+        shared,
+    ))));
     spawn(Box::pin(organisations::tokens::keep_leased(Rc::clone(
         shared,
     ))));
