--- a/crates/mesh/src/calls/admit.rs
+++ b/crates/mesh/src/calls/admit.rs
@@ -9,8 +9,8 @@
 
 use super::story::CallStory;
 use super::{refuse, ClientAnswer, ClientCall, NOT_ALLOWED, TOO_MANY};
-use crate::organisations::tokens::TokenHold;
-use crate::organisations::CallHolder;
+use crate::organisations::tokens::CallToken;
+use crate::organisations::KeyHolder;
 use crate::state::MeshShared;
 
 /// When to come back to a daemon that does not know whether a key still holds.
@@ -29,18 +29,18 @@
     call: &mut ClientCall,
     limit: Instant,
     story: &mut CallStory,
-) -> Result<Option<TokenHold>, ClientAnswer> {
+) -> Result<Option<CallToken>, ClientAnswer> {
     let key = headers::read_api_key(&call.head);
     let desk = &shared.organisations;
     let holder = match desk.holder(index, route, key) {
-        CallHolder::Nobody => return Ok(None),
-        CallHolder::Organisation(holder) => holder,
-        CallHolder::Unknown => {
+        KeyHolder::Anonymous => return Ok(None),
+        KeyHolder::Organisation(holder) => holder,
+        KeyHolder::Unknown => {
             shared.metrics.keyed("unknown");
             story.reason = "unknown_key";
             return Err(ClientAnswer::own(NOT_ALLOWED));
         }
-        CallHolder::Stale => {
+        KeyHolder::Stale => {
             shared.metrics.keyed("out_of_date");
             story.reason = "keys_out_of_date";
             return Err(refuse(KEYS_AGAIN));
--- a/crates/mesh/src/feeds.rs
+++ b/crates/mesh/src/feeds.rs
@@ -381,6 +381,6 @@
 /// Takes note that the version in force was the store's newest at `snapshot_time`.
 fn confirm(shared: &MeshShared, subject: FeedSubject, snapshot_time: Option<SnapshotTime>) {
     if let (FeedSubject::Configuration, Some(snapshot_time)) = (subject, snapshot_time) {
-        shared.version_was_confirmed(snapshot_time);
+        shared.record_store_confirmation(snapshot_time);
     }
 }
--- a/crates/mesh/src/feeds/take.rs
+++ b/crates/mesh/src/feeds/take.rs
@@ -23,9 +23,9 @@
         FeedSubject::Membership => {
             shared.take_held_rows(batch.rows.iter());
             for row in batch.rows.iter().filter(|row| is_rollout_key(&row.key)) {
-                shared.take_rollout_row(row);
+                shared.apply_rollout_row(row);
             }
-            shared.rollouts.rows_were_read();
+            shared.rollouts.mark_rows_loaded();
             let mut listed: Vec<PeerAddress> =
                 batch.rows.iter().filter_map(decode_member).collect();
             listed.retain(|host| !is_back_wrongly(shared, &host.id));
@@ -58,7 +58,7 @@
         return;
     }
     if is_rollout_key(&row.key) {
-        shared.take_rollout_row(row);
+        shared.apply_rollout_row(row);
         return;
     }
     match decode_member(row) {
@@ -71,7 +71,7 @@
 /// Takes over a changed row of the operator's table.
 pub(super) fn take_configuration(shared: &Rc<MeshShared>, row: StoreRow) {
     if row.key != CONFIG_KEY {
-        shared.take_rollout_order(&row);
+        shared.apply_rollout_order(&row);
         return;
     }
     match row.value {
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -27,7 +27,7 @@
 use crate::messages::{CallHead, TargetLoad, TargetState, TargetStatus};
 use crate::metrics::MeshMetrics;
 use crate::quarantine::SharedQuarantine;
-use crate::rollouts::RolloutBook;
+use crate::rollouts::RolloutTable;
 use crate::settings::{MeshSettings, TimeSettings};
 use crate::target::TargetConnections;
 pub use wait::RunPermit;
@@ -62,7 +62,7 @@
     state: RefCell<GateState>,
     connections: Rc<TargetConnections>,
     quarantine: Rc<SharedQuarantine>,
-    rollouts: Rc<RolloutBook>,
+    rollouts: Rc<RolloutTable>,
     /// This host's name.
     host: String,
     metrics: Rc<MeshMetrics>,
@@ -87,7 +87,7 @@
     pub fn new(
         settings: &MeshSettings,
         quarantine: Rc<SharedQuarantine>,
-        rollouts: Rc<RolloutBook>,
+        rollouts: Rc<RolloutTable>,
         metrics: Rc<MeshMetrics>,
         egress: Rc<EgressPacer>,
         clock: Rc<dyn Clock>,
@@ -171,7 +171,7 @@
         };
         if change == InstanceChange::Replaced {
             self.connections.clear();
-            self.rollouts.own.target_replaced(now);
+            self.rollouts.run_counters.reset_for_new_target(now);
         }
         if change != InstanceChange::None && change != InstanceChange::Stale {
             self.changed.notify_waiters();
--- a/crates/mesh/src/gate/run.rs
+++ b/crates/mesh/src/gate/run.rs
@@ -15,7 +15,7 @@
 use crate::logging::LineWeight;
 use crate::messages::{micros, AnswerHead, CallHead, ReplyHead};
 use crate::quarantine::AgedCrash;
-use crate::rollouts::counters::{RunTold, RunWatch};
+use crate::rollouts::counters::{CountedOutcome, RunObservation};
 use crate::target::{ExchangeEnd, ExchangeTerms};
 
 /// From this status on an answer is the target's failure.
@@ -83,24 +83,28 @@
     }
 
     /// Watches a run for a roll-out of the target's service.
-    fn watch(&self, call: &CallHead) -> Option<RunWatch> {
-        self.rollouts.is_watching(&call.service).then(|| {
+    fn watch(&self, call: &CallHead) -> Option<RunObservation> {
+        self.rollouts.has_live_rollout(&call.service).then(|| {
             let usual = call.usual_run.map(|usual| RunTime::from(usual).mean);
-            RunWatch::new(&self.rollouts, &self.clock, &call.kind, usual)
+            RunObservation::new(&self.rollouts, &self.clock, &call.kind, usual)
         })
     }
 
     /// What the caller's daemon is told of an exchange.
-    async fn reply(&self, run: &CallRun<'_>, end: ExchangeEnd) -> (ReplyHead, AnswerBody, RunTold) {
+    async fn reply(
+        &self,
+        run: &CallRun<'_>,
+        end: ExchangeEnd,
+    ) -> (ReplyHead, AnswerBody, CountedOutcome) {
         let none = AnswerBody::Whole(bytes::Bytes::new());
         match end {
             ExchangeEnd::Answer(head, body) => {
                 let took = self.clock.now().saturating_duration_since(run.started);
                 self.note_answer(run, &head, took);
                 let told = if head.status < FIRST_FAILURE {
-                    RunTold::Success
+                    CountedOutcome::Success
                 } else {
-                    RunTold::Failure
+                    CountedOutcome::Failure
                 };
                 let reply = ReplyHead::Answer {
                     head: answer_head(&head),
@@ -120,23 +124,23 @@
             }
             ExchangeEnd::NotConnected(error) => {
                 let reply = self.note_unreachable(run, &error);
-                (reply, none, RunTold::Nothing)
+                (reply, none, CountedOutcome::NotCounted)
             }
             ExchangeEnd::Rejected(load) => {
                 self.note_ill(run, "rejected", &format!("stated load {load:?}"));
                 let reply = ReplyHead::Rejected { load: self.load() };
-                (reply, none, RunTold::Nothing)
+                (reply, none, CountedOutcome::NotCounted)
             }
             ExchangeEnd::Lost(reason) => {
                 self.note_ill(run, "lost", reason);
-                (self.lost(None), none, RunTold::Failure)
+                (self.lost(None), none, CountedOutcome::Failure)
             }
             ExchangeEnd::BrokenOff(reason) => {
                 let ended = self.mark_if_ended(run.call.identity, run.started).await;
                 let (verdict, told) = if ended.is_some() {
-                    ("target_ended", RunTold::Nothing)
+                    ("target_ended", CountedOutcome::NotCounted)
                 } else {
-                    ("lost", RunTold::Failure)
+                    ("lost", CountedOutcome::Failure)
                 };
                 self.note_ill(run, verdict, reason);
                 (self.lost(ended), none, told)
--- a/crates/mesh/src/messages.rs
+++ b/crates/mesh/src/messages.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::quarantine::SuspectCall;
-use crate::rollouts::messages::{RolloutNews, TargetTally};
+use crate::rollouts::messages::{RolloutUpdate, TargetReport};
 use crate::text_delta::TextDelta;
 
 pub use calls::{AnswerHead, CallHead, ReplyHead, UsualRun};
@@ -159,9 +159,9 @@
     /// Calls that were at work as targets ended, or that ran well since.
     Suspects(Vec<SuspectCall>),
     /// How far roll-outs are.
-    Rollouts(Vec<RolloutNews>),
+    Rollouts(Vec<RolloutUpdate>),
     /// What gates counted; for the daemons that decide on roll-outs.
-    Tallies(Vec<TargetTally>),
+    TargetReports(Vec<TargetReport>),
     /// The sender has no steps to tell.
     NoSteps {
         /// Whether they are too heavy for a link, rather than not known.
--- a/crates/mesh/src/news.rs
+++ b/crates/mesh/src/news.rs
@@ -217,7 +217,7 @@
     match message {
         LinkMessage::Target(_) => CrossingCause::Load,
         LinkMessage::Suspects(_) => CrossingCause::Suspect,
-        LinkMessage::Rollouts(_) | LinkMessage::Tallies(_) => CrossingCause::Rollout,
+        LinkMessage::Rollouts(_) | LinkMessage::TargetReports(_) => CrossingCause::Rollout,
         LinkMessage::InForce { .. }
         | LinkMessage::WantVersion { .. }
         | LinkMessage::HeavyVersion
@@ -279,21 +279,21 @@
         }
         LinkMessage::HostsChanged(changes) => shared.take_changes(changes, from),
         LinkMessage::Suspects(calls) => shared.quarantine.hear(&calls, from),
-        LinkMessage::Rollouts(news) => shared.hear_rollouts(&news, from),
-        LinkMessage::VersionAge(told) => shared.hear_age(told, peer),
+        LinkMessage::Rollouts(news) => shared.merge_rollouts(&news, from),
+        LinkMessage::VersionAge(told) => shared.record_upstream_confirmation(told, peer),
         LinkMessage::StoreClock {
             era,
             latest_us,
             asked_us,
         } => {
             let asked = Duration::from_micros(asked_us);
-            shared.hear_clock(era, Duration::from_micros(latest_us), asked);
+            shared.record_store_clock(era, Duration::from_micros(latest_us), asked);
         }
         LinkMessage::Tokens {
             ask,
             granted,
             dry_us,
-        } => shared.organisations.hear_grant(
+        } => shared.organisations.deliver_grant(
             ask,
             TokenGrant {
                 tokens: granted,
@@ -303,7 +303,7 @@
         LinkMessage::WantTokens { .. }
         | LinkMessage::RenewPool
         | LinkMessage::WantClock { .. }
-        | LinkMessage::Tallies(_)
+        | LinkMessage::TargetReports(_)
         | LinkMessage::InForce { .. }
         | LinkMessage::MembersSum(_)
         | LinkMessage::Hello { .. }
--- a/crates/mesh/src/organisations/freshness.rs
+++ b/crates/mesh/src/organisations/freshness.rs
@@ -36,7 +36,7 @@
 
     /// Takes word of the store that the version in force is its newest, and tells
     /// those that follow this daemon.
-    pub fn version_was_confirmed(&self, snapshot_time: SnapshotTime) {
+    pub fn record_store_confirmation(&self, snapshot_time: SnapshotTime) {
         if !self.keeps_age() {
             return;
         }
@@ -52,7 +52,7 @@
     }
 
     /// Takes word of `upstream` on the age of the newest version.
-    pub fn hear_age(&self, told: VersionAge, upstream: &Peer) {
+    pub fn record_upstream_confirmation(&self, told: VersionAge, upstream: &Peer) {
         if !self.is_upstream(&upstream.address.id) {
             return;
         }
@@ -72,7 +72,7 @@
 
     /// Takes word on the store's clock: it showed `latest` at most, by the answer to
     /// a question asked at `asked`, since the own host's start.
-    pub fn hear_clock(&self, era: u64, latest: Duration, asked: Duration) {
+    pub fn record_store_clock(&self, era: u64, latest: Duration, asked: Duration) {
         let mut age = self.organisations.age.borrow_mut();
         age.record_clock_sample(era, latest, asked);
         age.update_for_version(self.versions.number());
@@ -93,13 +93,13 @@
 
     /// What this daemon knows of the age of the newest version.
     #[must_use]
-    pub fn version_age(&self) -> Option<LinkMessage> {
+    pub fn version_confirmation(&self) -> Option<LinkMessage> {
         let newest_confirmation = self.organisations.age.borrow().newest_confirmation()?;
         Some(LinkMessage::VersionAge(VersionAge::of(newest_confirmation)))
     }
 
     fn tell_age(&self) {
-        if let (Some(age), true) = (self.version_age(), self.members.is_reader()) {
+        if let (Some(age), true) = (self.version_confirmation(), self.members.is_reader()) {
             self.tell_followers(&age);
         }
     }
--- a/crates/mesh/src/organisations/mod.rs
+++ b/crates/mesh/src/organisations/mod.rs
@@ -28,7 +28,7 @@
 const KNOWN_WITHIN: Duration = Duration::from_millis(3_500);
 
 /// What is known of organisations beyond the version in force.
-pub struct OrganisationDesk {
+pub struct OrganisationState {
     clock: Rc<dyn Clock>,
     /// How soon a withdrawn key is refused everywhere, where that is bounded.
     withdrawn_within: Cell<Option<Duration>>,
@@ -68,9 +68,9 @@
 
 /// Whose a call is.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CallHolder {
+pub enum KeyHolder {
     /// Nobody's, and it needs no key.
-    Nobody,
+    Anonymous,
     /// This organisation's.
     Organisation(Arc<OrganisationRule>),
     /// It needs a key, and no organisation holds its own.
@@ -79,11 +79,11 @@
     Stale,
 }
 
-impl OrganisationDesk {
+impl OrganisationState {
     /// A desk that knows nothing yet.
     #[must_use]
-    pub fn new(settings: &MeshSettings, clock: Rc<dyn Clock>) -> Rc<OrganisationDesk> {
-        let desk = OrganisationDesk {
+    pub fn new(settings: &MeshSettings, clock: Rc<dyn Clock>) -> Rc<OrganisationState> {
+        let desk = OrganisationState {
             clock,
             withdrawn_within: Cell::new(None),
             age: RefCell::default(),
@@ -111,29 +111,29 @@
 
     /// Whose a call on `route` with `key` is.
     #[must_use]
-    pub fn holder(&self, index: &RouteIndex, route: &RouteRule, key: Option<&str>) -> CallHolder {
+    pub fn holder(&self, index: &RouteIndex, route: &RouteRule, key: Option<&str>) -> KeyHolder {
         let organisations = index.organisations();
         if organisations.is_empty() {
-            return CallHolder::Nobody;
+            return KeyHolder::Anonymous;
         }
         let holder = key.and_then(|key| organisations.holder(key));
         if route.is_public {
-            return holder.map_or(CallHolder::Nobody, |holder| {
-                CallHolder::Organisation(Arc::clone(holder))
+            return holder.map_or(KeyHolder::Anonymous, |holder| {
+                KeyHolder::Organisation(Arc::clone(holder))
             });
         }
         if key.is_none() {
-            return CallHolder::Unknown;
+            return KeyHolder::Unknown;
         }
         let age = self.age.borrow().age(self.clock.since_boot());
         let is_within = |bound: Duration| age.is_some_and(|age| age < bound);
         let is_stale = !self.withdrawn_within.get().is_none_or(is_within);
         self.note_stale(is_stale, age, index.number());
         match holder {
-            _ if is_stale => CallHolder::Stale,
-            Some(holder) => CallHolder::Organisation(Arc::clone(holder)),
-            None if is_within(KNOWN_WITHIN) => CallHolder::Unknown,
-            None => CallHolder::Stale,
+            _ if is_stale => KeyHolder::Stale,
+            Some(holder) => KeyHolder::Organisation(Arc::clone(holder)),
+            None if is_within(KNOWN_WITHIN) => KeyHolder::Unknown,
+            None => KeyHolder::Stale,
         }
     }
 
@@ -151,7 +151,7 @@
     }
 
     /// Takes note of the version in force.
-    pub fn version_in_force(&self, index: &RouteIndex) {
+    pub fn apply_version(&self, index: &RouteIndex) {
         self.age.borrow_mut().update_for_version(index.number());
         let limited = index.organisations().limited();
         let names: Vec<&str> = limited.map(|rule| rule.name.as_str()).collect();
@@ -168,7 +168,7 @@
 
     /// Takes note of how many hosts there are in the own availability zone, and in
     /// how many `zones` there are any.
-    pub fn note_hosts(&self, hosts: usize, zones: usize) {
+    pub fn set_host_counts(&self, hosts: usize, zones: usize) {
         self.zone_hosts.set(hosts);
         self.zones.set(zones);
     }
--- a/crates/mesh/src/organisations/tokens.rs
+++ b/crates/mesh/src/organisations/tokens.rs
@@ -10,7 +10,7 @@
 use tokio::sync::oneshot;
 use twox_hash::XxHash64;
 
-use super::{OrganisationDesk, TokenCacheEntry};
+use super::{OrganisationState, TokenCacheEntry};
 use crate::messages::{micros, LinkMessage};
 use crate::peers::Peer;
 use crate::state::MeshShared;
@@ -35,7 +35,7 @@
 
 /// Brings this host's part of the tokens to the pools that it asks, as long as
 /// there are limits. Runs for ever.
-pub async fn keep_leased(shared: Rc<MeshShared>) {
+pub async fn maintain_pool_leases(shared: Rc<MeshShared>) {
     let desk = &shared.organisations;
     loop {
         if !desk.has_limits.get() {
@@ -47,13 +47,13 @@
 }
 
 /// The right to run one call.
-pub struct TokenHold {
+pub struct CallToken {
     /// The organisation that it is counted for.
     organisation: String,
-    desk: Rc<OrganisationDesk>,
+    desk: Rc<OrganisationState>,
 }
 
-impl TokenHold {
+impl CallToken {
     /// Gives the right back: the call did not run.
     pub fn refund(self) {
         let now = self.desk.clock.now();
@@ -67,12 +67,12 @@
 /// A call that waits for a token; counted until it is dropped.
 struct WaitingCall {
     organisation: String,
-    desk: Rc<OrganisationDesk>,
+    desk: Rc<OrganisationState>,
 }
 
 impl WaitingCall {
     fn new(
-        desk: &Rc<OrganisationDesk>,
+        desk: &Rc<OrganisationState>,
         organisation: &str,
         entry: &mut TokenCacheEntry,
     ) -> WaitingCall {
@@ -118,7 +118,7 @@
         self: &Rc<Self>,
         organisation: &OrganisationRule,
         limit: Instant,
-    ) -> Result<Option<TokenHold>, Duration> {
+    ) -> Result<Option<CallToken>, Duration> {
         if organisation.limit.is_none() {
             return Ok(None);
         }
@@ -159,8 +159,8 @@
         }
     }
 
-    fn hold(&self, organisation: &str) -> TokenHold {
-        TokenHold {
+    fn hold(&self, organisation: &str) -> CallToken {
+        CallToken {
             organisation: organisation.to_owned(),
             desk: Rc::clone(&self.organisations),
         }
@@ -310,7 +310,7 @@
     }
 }
 
-impl OrganisationDesk {
+impl OrganisationState {
     fn wanted(&self, organisation: &str) -> u32 {
         let token_caches = self.token_caches.borrow();
         token_caches
@@ -332,7 +332,7 @@
 
     /// Takes another daemon's answer to question `ask`. One that comes too late
     /// is lost, and its tokens with it.
-    pub fn hear_grant(&self, ask: u64, grant: TokenGrant) {
+    pub fn deliver_grant(&self, ask: u64, grant: TokenGrant) {
         let waiting = self.asked.borrow_mut().remove(&ask);
         if let Some(waiting) = waiting {
             // Whoever asked may have given up in this moment.
--- a/crates/mesh/src/rollouts/counters.rs
+++ b/crates/mesh/src/rollouts/counters.rs
@@ -8,8 +8,8 @@
 use filbert_policy::clock::Clock;
 use filbert_policy::rollout::judge::CallCounts;
 
-use super::messages::{KindTally, TargetTally};
-use super::RolloutBook;
+use super::messages::{KindCounts, TargetReport};
+use super::RolloutTable;
 
 /// Kinds of call counted apart; more are counted together.
 const MOST_KINDS: usize = 32;
@@ -34,7 +34,7 @@
 
 impl GateTally {
     /// Begins anew: another target is in place, heard of at `now`.
-    pub fn target_replaced(&self, now: Instant) {
+    pub fn reset_for_new_target(&self, now: Instant) {
         self.kinds.borrow_mut().clear();
         self.warm_from.set(Some(now + WARM_AFTER));
     }
@@ -58,10 +58,10 @@
 
     /// The counters, and the number of this tally.
     #[must_use]
-    pub fn read(&self) -> (u64, Vec<KindTally>) {
+    pub fn read(&self) -> (u64, Vec<KindCounts>) {
         self.sequence.set(self.sequence.get() + 1);
         let kinds = self.kinds.borrow();
-        let tallies = kinds.iter().map(|(kind, counts)| KindTally {
+        let tallies = kinds.iter().map(|(kind, counts)| KindCounts {
             kind: kind.clone(),
             ended: counts.ended,
             bad: counts.bad,
@@ -72,21 +72,21 @@
 
 /// How a run ended, as far as it tells about its target's software.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RunTold {
+pub enum CountedOutcome {
     /// With a whole answer that is no failure.
     Success,
     /// With a failure of the target's own.
     Failure,
     /// In a way that says nothing: rejected, or the target ended.
-    Nothing,
+    NotCounted,
 }
 
 /// Watches one run, to its end or to its caller's leaving.
 ///
 /// Guards against a slow version that hides: its slowest runs are given up by
 /// their callers, and none of them would count.
-pub struct RunWatch {
-    book: Rc<RolloutBook>,
+pub struct RunObservation {
+    book: Rc<RolloutTable>,
     clock: Rc<dyn Clock>,
     kind: String,
     began: Instant,
@@ -95,16 +95,16 @@
     is_told: bool,
 }
 
-impl RunWatch {
+impl RunObservation {
     /// Watches a run of `kind` that begins now and usually takes `usual`.
     #[must_use]
     pub fn new(
-        book: &Rc<RolloutBook>,
+        book: &Rc<RolloutTable>,
         clock: &Rc<dyn Clock>,
         kind: &str,
         usual: Option<Duration>,
-    ) -> RunWatch {
-        RunWatch {
+    ) -> RunObservation {
+        RunObservation {
             book: Rc::clone(book),
             clock: Rc::clone(clock),
             kind: kind.to_owned(),
@@ -117,25 +117,25 @@
     fn is_far_longer(&self) -> bool {
         let now = self.clock.now();
         let took = now.saturating_duration_since(self.began);
-        self.book.own.is_warm(now) && self.far_longer.is_some_and(|bound| took > bound)
+        self.book.run_counters.is_warm(now) && self.far_longer.is_some_and(|bound| took > bound)
     }
 
     /// Notes how it ended.
-    pub fn end(mut self, told: RunTold) {
+    pub fn end(mut self, told: CountedOutcome) {
         self.is_told = true;
         let is_bad = match told {
-            RunTold::Nothing => return,
-            RunTold::Failure => true,
-            RunTold::Success => self.is_far_longer(),
+            CountedOutcome::NotCounted => return,
+            CountedOutcome::Failure => true,
+            CountedOutcome::Success => self.is_far_longer(),
         };
-        self.book.own.note(&self.kind, is_bad);
+        self.book.run_counters.note(&self.kind, is_bad);
     }
 }
 
-impl Drop for RunWatch {
+impl Drop for RunObservation {
     fn drop(&mut self) {
         if !self.is_told && self.is_far_longer() {
-            self.book.own.note(&self.kind, true);
+            self.book.run_counters.note(&self.kind, true);
         }
     }
 }
@@ -144,7 +144,7 @@
 #[derive(Clone, Debug)]
 pub struct HeardTally {
     /// The tally.
-    pub tally: TargetTally,
+    pub tally: TargetReport,
     /// When it came.
     pub at: Instant,
 }
@@ -159,7 +159,7 @@
 
 impl HeardTallies {
     /// Takes a tally, unless a newer one came before.
-    pub fn take(&self, tally: TargetTally, now: Instant) {
+    pub fn take(&self, tally: TargetReport, now: Instant) {
         let mut by_host = self.by_host.borrow_mut();
         if let Some(known) = by_host.get(&tally.host) {
             let is_older =
@@ -187,7 +187,7 @@
 
     /// The tallies that came since this was last asked.
     #[must_use]
-    pub fn take_unpassed(&self) -> Vec<TargetTally> {
+    pub fn take_unpassed(&self) -> Vec<TargetReport> {
         let by_host = self.by_host.borrow();
         let unpassed = self.unpassed.take();
         let tallies = unpassed.iter().filter_map(|host| by_host.get(host));
--- a/crates/mesh/src/rollouts/decide.rs
+++ b/crates/mesh/src/rollouts/decide.rs
@@ -54,7 +54,7 @@
 
 /// Decides on stages, while this daemon asks the store for the fleet. Runs for
 /// ever.
-pub async fn keep_decided(shared: Rc<MeshShared>) {
+pub async fn decide_stages(shared: Rc<MeshShared>) {
     let mut followed: BTreeMap<String, FollowedRollout> = BTreeMap::new();
     loop {
         if !shared.rollouts.has_live() {
--- a/crates/mesh/src/rollouts/messages.rs
+++ b/crates/mesh/src/rollouts/messages.rs
@@ -7,7 +7,7 @@
 
 /// A note on its way, with ages in place of times: clocks differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RolloutNews {
+pub struct RolloutUpdate {
     /// The note.
     pub record: RolloutRecord,
     /// Time since the order.
@@ -19,7 +19,7 @@
 /// Counters of the gate beside one target. They only grow, so the newest of two
 /// replaces the older.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TargetTally {
+pub struct TargetReport {
     /// The target's host.
     pub host: String,
     /// A random number of the gate's start.
@@ -39,12 +39,12 @@
     /// The order and step that its daemon knows.
     pub known: Option<(OrderId, u32)>,
     /// Its runs, by kind of call.
-    pub kinds: Vec<KindTally>,
+    pub kinds: Vec<KindCounts>,
 }
 
 /// Runs of one kind of call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct KindTally {
+pub struct KindCounts {
     /// The route's name.
     pub kind: String,
     /// Runs that ended.
--- a/crates/mesh/src/rollouts/mod.rs
+++ b/crates/mesh/src/rollouts/mod.rs
@@ -31,12 +31,12 @@
 use row::RolloutRow;
 
 /// The book that the daemon's parts share.
-pub struct RolloutBook {
+pub struct RolloutTable {
     entries: RefCell<BTreeMap<String, RolloutEntry>>,
     clock: Rc<dyn Clock>,
     metrics: Rc<MeshMetrics>,
     /// The counters of the gate here.
-    pub own: GateTally,
+    pub run_counters: GateTally,
     /// Counters of other gates.
     pub heard: HeardTallies,
     /// Services whose entry changed and has to be told.
@@ -58,15 +58,15 @@
     is_used: Cell<bool>,
 }
 
-impl RolloutBook {
+impl RolloutTable {
     /// An empty book.
     #[must_use]
-    pub fn new(metrics: Rc<MeshMetrics>, clock: Rc<dyn Clock>) -> Rc<RolloutBook> {
-        Rc::new(RolloutBook {
+    pub fn new(metrics: Rc<MeshMetrics>, clock: Rc<dyn Clock>) -> Rc<RolloutTable> {
+        Rc::new(RolloutTable {
             entries: RefCell::default(),
             clock,
             metrics,
-            own: GateTally::default(),
+            run_counters: GateTally::default(),
             heard: HeardTallies::default(),
             untold: RefCell::default(),
             has_untold: Notify::new(),
@@ -132,7 +132,7 @@
 
     /// Whether the runs of `service` are counted.
     #[must_use]
-    pub fn is_watching(&self, service: &str) -> bool {
+    pub fn has_live_rollout(&self, service: &str) -> bool {
         self.is_used.get()
             && self
                 .entries
@@ -211,7 +211,7 @@
     }
 
     /// Notes that all rows of roll-outs were read.
-    pub fn rows_were_read(&self) {
+    pub fn mark_rows_loaded(&self) {
         self.has_read_rows.set(true);
         for order in self.waiting.take().into_values() {
             self.take_order(order);
@@ -357,7 +357,7 @@
     }
 
     /// Forgets what the store held: it came back from an older copy.
-    pub fn store_came_back(&self) {
+    pub fn reset_row_state(&self) {
         self.has_read_rows.set(false);
         for entry in self.entries.borrow_mut().values_mut() {
             entry.row_at = 0;
--- a/crates/mesh/src/rollouts/replication.rs
+++ b/crates/mesh/src/rollouts/replication.rs
@@ -6,7 +6,7 @@
 use crate::messages::{encode, LinkMessage};
 use crate::state::MeshShared;
 
-use super::messages::{RolloutNews, TargetTally};
+use super::messages::{RolloutUpdate, TargetReport};
 
 /// Pause between two tallies of a gate. With the way over a reader, evidence is
 /// at the deciders within twice this.
@@ -23,10 +23,10 @@
 
     fn rollout_news(&self, services: &[String]) -> Option<LinkMessage> {
         let now = self.clock.now();
-        let news: Vec<RolloutNews> = services
+        let news: Vec<RolloutUpdate> = services
             .iter()
             .filter_map(|service| self.rollouts.entry(service))
-            .map(|entry| RolloutNews {
+            .map(|entry| RolloutUpdate {
                 elapsed: now.saturating_duration_since(entry.ordered),
                 confirmed: entry.confirmed,
                 record: entry.record,
@@ -36,7 +36,7 @@
     }
 
     /// Takes what daemon `from` tells of roll-outs.
-    pub fn hear_rollouts(&self, news: &[RolloutNews], from: &str) {
+    pub fn merge_rollouts(&self, news: &[RolloutUpdate], from: &str) {
         for told in news {
             self.rollouts
                 .merge(&told.record, told.elapsed, told.confirmed, from);
@@ -44,7 +44,7 @@
     }
 
     /// Takes counters of other gates.
-    pub fn hear_tallies(&self, tallies: Vec<TargetTally>) {
+    pub fn record_reports(&self, tallies: Vec<TargetReport>) {
         let now = self.clock.now();
         for tally in tallies {
             self.rollouts.heard.take(tally, now);
@@ -52,14 +52,14 @@
     }
 
     /// The counters of the gate here, while its service has a roll-out.
-    fn own_tally(&self) -> Option<TargetTally> {
+    fn own_tally(&self) -> Option<TargetReport> {
         let status = self.gate.status()?;
-        if !self.rollouts.is_watching(&status.service) {
+        if !self.rollouts.has_live_rollout(&status.service) {
             return None;
         }
-        let (sequence, kinds) = self.rollouts.own.read();
+        let (sequence, kinds) = self.rollouts.run_counters.read();
         let settings = self.settings.borrow();
-        Some(TargetTally {
+        Some(TargetReport {
             host: settings.id.clone(),
             start: self.seed,
             sequence,
@@ -78,7 +78,7 @@
     fn pass_tallies(&self) {
         let own = self.own_tally();
         if let Some(own) = own {
-            self.hear_tallies(vec![own]);
+            self.record_reports(vec![own]);
         }
         let tallies = self.rollouts.heard.take_unpassed();
         if self.members.is_source() || tallies.is_empty() {
@@ -86,14 +86,14 @@
         }
         for upstream in self.linked_upstreams() {
             for part in tallies.chunks(MOST_TALLIES) {
-                upstream.say(LinkMessage::Tallies(part.to_vec()));
+                upstream.say(LinkMessage::TargetReports(part.to_vec()));
             }
         }
     }
 }
 
 /// Passes on what changed, to all daemons linked either way. Runs for ever.
-pub async fn keep_told(shared: Rc<MeshShared>) {
+pub async fn send_updates(shared: Rc<MeshShared>) {
     loop {
         let services = shared.rollouts.next_untold().await;
         let Some(message) = shared.rollout_news(&services) else {
@@ -109,7 +109,7 @@
 }
 
 /// Shuts and opens the gate here as stages change. Runs for ever.
-pub async fn keep_gate(shared: Rc<MeshShared>) {
+pub async fn apply_stages_to_gate(shared: Rc<MeshShared>) {
     loop {
         shared.rollouts.stage_changed.notified().await;
         shared.gate.rollout_changed();
@@ -117,7 +117,7 @@
 }
 
 /// Tells counters while roll-outs run. Runs for ever.
-pub async fn keep_counted(shared: Rc<MeshShared>) {
+pub async fn report_run_counts(shared: Rc<MeshShared>) {
     loop {
         shared.rollouts.until_live().await;
         while shared.rollouts.has_live() {
--- a/crates/mesh/src/rollouts/row_writer.rs
+++ b/crates/mesh/src/rollouts/row_writer.rs
@@ -25,7 +25,7 @@
 
 impl MeshShared {
     /// Takes a row of the operator's table.
-    pub fn take_rollout_order(&self, row: &StoreRow) {
+    pub fn apply_rollout_order(&self, row: &StoreRow) {
         let Some(order) = rollouts::decode_order(row) else {
             return;
         };
@@ -38,7 +38,7 @@
     }
 
     /// Takes a row of the table of hosts that is a roll-out's.
-    pub fn take_rollout_row(&self, row: &StoreRow) {
+    pub fn apply_rollout_row(&self, row: &StoreRow) {
         let Some(stored) = RolloutRow::read(row) else {
             return;
         };
@@ -50,7 +50,7 @@
 
 /// Writes what is to be agreed, while this daemon asks the store for the fleet.
 /// Runs for ever.
-pub async fn keep_recorded(shared: Rc<MeshShared>) {
+pub async fn run_rollout_writer(shared: Rc<MeshShared>) {
     let mut failures = 0;
     shared.rollouts.until_used().await;
     loop {
@@ -162,7 +162,7 @@
                 rows.iter().map(|row| row.version).collect::<Vec<_>>()
             );
             match rows.iter().find(|row| row.key == key) {
-                Some(row) if row.value.is_some() => shared.take_rollout_row(row),
+                Some(row) if row.value.is_some() => shared.apply_rollout_row(row),
                 _ => shared.rollouts.row_is_missing(service),
             }
             true
--- a/crates/mesh/src/serve_peers/news.rs
+++ b/crates/mesh/src/serve_peers/news.rs
@@ -103,7 +103,7 @@
         news.push(LinkMessage::MembersSum(shared.members_sum()));
     }
     news.push(LinkMessage::Store(store));
-    news.extend(shared.version_age());
+    news.extend(shared.version_confirmation());
     news.extend(shared.quarantine.suspects());
     news.extend(shared.all_rollouts());
     // A restarted daemon that cannot reach the store learns here whom to call.
@@ -165,11 +165,11 @@
             None
         }
         LinkMessage::Rollouts(news) => {
-            shared.hear_rollouts(&news, "a daemon linked here");
+            shared.merge_rollouts(&news, "a daemon linked here");
             None
         }
-        LinkMessage::Tallies(tallies) => {
-            shared.hear_tallies(tallies);
+        LinkMessage::TargetReports(tallies) => {
+            shared.record_reports(tallies);
             None
         }
         LinkMessage::WantTokens {
--- a/crates/mesh/src/shell.rs
+++ b/crates/mesh/src/shell.rs
@@ -22,10 +22,10 @@
 use crate::logging::LineBudget;
 use crate::members::MemberBook;
 use crate::metrics::MeshMetrics;
-use crate::organisations::OrganisationDesk;
+use crate::organisations::OrganisationState;
 use crate::peers::PeerBook;
 use crate::quarantine::{self, SharedQuarantine};
-use crate::rollouts::{self, RolloutBook};
+use crate::rollouts::{self, RolloutTable};
 use crate::settings::MeshSettings;
 use crate::state::MeshShared;
 use crate::stop::StopState;
@@ -115,7 +115,7 @@
     let metrics = Rc::new(MeshMetrics::new());
     let egress = EgressPacer::new(settings.link.mbps, Rc::clone(&clock));
     let quarantine = SharedQuarantine::new(Rc::clone(&metrics), Rc::clone(&clock));
-    let rollouts = RolloutBook::new(Rc::clone(&metrics), Rc::clone(&clock));
+    let rollouts = RolloutTable::new(Rc::clone(&metrics), Rc::clone(&clock));
     let gate = Gate::new(
         &settings,
         Rc::clone(&quarantine),
@@ -124,7 +124,7 @@
         Rc::clone(&egress),
         Rc::clone(&clock),
     );
-    let organisations = OrganisationDesk::new(&settings, Rc::clone(&clock));
+    let organisations = OrganisationState::new(&settings, Rc::clone(&clock));
     Rc::new(MeshShared {
         store: StoreClient::new(&settings.store, STORE_TIMEOUT, Arc::new(SystemClock)),
         budget: RefCell::new(RetryBudget::new(settings.retry_budget_limits(), now)),
@@ -166,22 +166,22 @@
     spawn(Box::pin(Rc::clone(&shared.gate).keep_settled()));
     spawn(Box::pin(status::keep_told(Rc::clone(shared))));
     spawn(Box::pin(quarantine::keep_told(Rc::clone(shared))));
-    spawn(Box::pin(rollouts::replication::keep_told(Rc::clone(
-        shared,
-    ))));
-    spawn(Box::pin(rollouts::replication::keep_gate(Rc::clone(
-        shared,
-    ))));
-    spawn(Box::pin(rollouts::replication::keep_counted(Rc::clone(
-        shared,
-    ))));
-    spawn(Box::pin(rollouts::decide::keep_decided(Rc::clone(shared))));
-    spawn(Box::pin(rollouts::row_writer::keep_recorded(Rc::clone(
-        shared,
-    ))));
-    spawn(Box::pin(organisations::tokens::keep_leased(Rc::clone(
+    spawn(Box::pin(rollouts::replication::send_updates(Rc::clone(
         shared,
     ))));
+    spawn(Box::pin(rollouts::replication::apply_stages_to_gate(
+        Rc::clone(shared),
+    )));
+    spawn(Box::pin(rollouts::replication::report_run_counts(
+        Rc::clone(shared),
+    )));
+    spawn(Box::pin(rollouts::decide::decide_stages(Rc::clone(shared))));
+    spawn(Box::pin(rollouts::row_writer::run_rollout_writer(
+        Rc::clone(shared),
+    )));
+    spawn(Box::pin(organisations::tokens::maintain_pool_leases(
+        Rc::clone(shared),
+    )));
     spawn(Box::pin(plan::keep_planned(Rc::clone(shared))));
     spawn(Box::pin(rows::keep_own(Rc::clone(shared))));
     spawn(Box::pin(rows::keep_written(Rc::clone(shared))));
--- a/crates/mesh/src/state.rs
+++ b/crates/mesh/src/state.rs
@@ -22,10 +22,10 @@
 use crate::members::MemberBook;
 use crate::messages::PeerAddress;
 use crate::metrics::{CrossingCause, MeshMetrics};
-use crate::organisations::OrganisationDesk;
+use crate::organisations::OrganisationState;
 use crate::peers::{Peer, PeerBook};
 use crate::quarantine::SharedQuarantine;
-use crate::rollouts::RolloutBook;
+use crate::rollouts::RolloutTable;
 use crate::settings::MeshSettings;
 use crate::stop::StopState;
 use crate::versions::VersionBook;
@@ -65,9 +65,9 @@
     /// Calls that are held back.
     pub quarantine: Rc<SharedQuarantine>,
     /// Roll-outs of software versions.
-    pub rollouts: Rc<RolloutBook>,
+    pub rollouts: Rc<RolloutTable>,
     /// Organisations, their keys and what they may run.
-    pub organisations: Rc<OrganisationDesk>,
+    pub organisations: Rc<OrganisationState>,
     /// What may be sent a second time.
     pub budget: RefCell<RetryBudget>,
     /// Deals split routes' calls.
@@ -118,7 +118,7 @@
             "event=store_came_back era={era} before={}",
             before.unwrap_or_default()
         );
-        self.rollouts.store_came_back();
+        self.rollouts.reset_row_state();
         let held = self.quarantine.forget_rows();
         self.see_to_held_rows(&held);
     }
--- a/crates/mesh/src/versions.rs
+++ b/crates/mesh/src/versions.rs
@@ -174,7 +174,7 @@
         *book.text.borrow_mut() = text.clone();
         book.deflated.take();
         log::info!("event=version_in_force version={number:08x} before={before:08x} routes={routes} from={from}");
-        self.organisations.version_in_force(&index);
+        self.organisations.apply_version(&index);
         self.peers
             .broadcast(&encode(&LinkMessage::InForce { version: number }));
     }
