--- a/crates/mesh/src/rollouts/counters.rs
+++ b/crates/mesh/src/rollouts/counters.rs
@@ -1,4 +1,5 @@
-//! Counts runs at the gate here, and keeps what other gates counted.
+//! Counts the outcomes of runs at this daemon's target, and keeps the reports that
+//! other daemons send about theirs.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,37 +12,38 @@
 use super::messages::{KindCounts, TargetReport};
 use super::RolloutTable;
 
-/// Kinds of call counted apart; more are counted together.
-const MOST_KINDS: usize = 32;
-/// Stands for kinds beyond those.
+/// Kinds of call that are counted separately. Further kinds are counted together,
+/// as [`OTHER_KINDS`].
+const MAX_KINDS: usize = 32;
+/// Name under which the kinds beyond [`MAX_KINDS`] are counted.
 const OTHER_KINDS: &str = "(other)";
-/// A run that takes this many times what its kind usually takes is a bad answer:
-/// run times spread widely, and targets differ by two in speed.
-const FAR_LONGER: u32 = 4;
-/// Time after a target was first heard of in which slow runs are no bad
-/// answers: it may still be slow from its start.
-const WARM_AFTER: Duration = Duration::from_secs(4);
-/// Tallies kept at most, of all services.
-const MOST_TALLIES: usize = 4_096;
-
-/// The counters of the gate here.
+/// Factor over the usual run time of its kind from which a run counts as bad. Run
+/// times vary widely, and targets differ in speed by a factor of two.
+const SLOW_RUN_FACTOR: u32 = 4;
+/// Time after a target's first report in which slow runs do not count as bad, as
+/// the target may still be warming up.
+const WARM_UP_TIME: Duration = Duration::from_secs(4);
+/// Maximum number of reports kept, for all services together.
+const MAX_REPORTS: usize = 4_096;
+
+/// Counters of the runs at this daemon's target, by kind of call.
 #[derive(Default)]
-pub struct GateTally {
+pub struct RunCounters {
     kinds: RefCell<BTreeMap<String, CallCounts>>,
     sequence: Cell<u64>,
     warm_from: Cell<Option<Instant>>,
 }
 
-impl GateTally {
-    /// Begins anew: another target is in place, heard of at `now`.
+impl RunCounters {
+    /// Clears the counters for another target, which sent its first report at `now`.
     pub fn reset_for_new_target(&self, now: Instant) {
         self.kinds.borrow_mut().clear();
-        self.warm_from.set(Some(now + WARM_AFTER));
+        self.warm_from.set(Some(now + WARM_UP_TIME));
     }
 
-    fn note(&self, kind: &str, is_bad: bool) {
+    fn record_run(&self, kind: &str, is_bad: bool) {
         let mut kinds = self.kinds.borrow_mut();
-        let is_full = kinds.len() >= MOST_KINDS && !kinds.contains_key(kind);
+        let is_full = kinds.len() >= MAX_KINDS && !kinds.contains_key(kind);
         let kind = if is_full { OTHER_KINDS } else { kind };
         if !kinds.contains_key(kind) {
             kinds.insert(kind.to_owned(), CallCounts::default());
@@ -56,147 +58,157 @@
         self.warm_from.get().is_none_or(|from| now >= from)
     }
 
-    /// The counters, and the number of this tally.
+    /// Returns a sequence number, which grows with each snapshot, and the counters.
     #[must_use]
-    pub fn read(&self) -> (u64, Vec<KindCounts>) {
+    pub fn snapshot(&self) -> (u64, Vec<KindCounts>) {
         self.sequence.set(self.sequence.get() + 1);
         let kinds = self.kinds.borrow();
-        let tallies = kinds.iter().map(|(kind, counts)| KindCounts {
+        let kind_counts = kinds.iter().map(|(kind, counts)| KindCounts {
             kind: kind.clone(),
             ended: counts.ended,
             bad: counts.bad,
         });
-        (self.sequence.get(), tallies.collect())
+        (self.sequence.get(), kind_counts.collect())
     }
 }
 
-/// How a run ended, as far as it tells about its target's software.
+/// Outcome of a run, as far as it reflects on the target's software.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CountedOutcome {
-    /// With a whole answer that is no failure.
+    /// The target sent a whole answer that is no failure.
     Success,
-    /// With a failure of the target's own.
+    /// The target failed to run the call.
     Failure,
-    /// In a way that says nothing: rejected, or the target ended.
+    /// The outcome does not reflect on the software: the target was not reached,
+    /// rejected the call, or ended.
     NotCounted,
 }
 
-/// Watches one run, to its end or to its caller's leaving.
+/// Counts one run when it ends, or when it is dropped because its caller left.
 ///
-/// Guards against a slow version that hides: its slowest runs are given up by
-/// their callers, and none of them would count.
+/// A dropped run that is already slow counts as bad. Otherwise a slow version
+/// would look good: callers abandon its slowest runs, and none of these would
+/// count.
 pub struct RunObservation {
-    book: Rc<RolloutTable>,
+    rollouts: Rc<RolloutTable>,
     clock: Rc<dyn Clock>,
     kind: String,
-    began: Instant,
-    /// Time from which the run is far too long; `None` when not known.
-    far_longer: Option<Duration>,
-    is_told: bool,
+    started_at: Instant,
+    /// Run time above which the run is slow; `None` if the usual run time is unknown.
+    slow_after: Option<Duration>,
+    is_ended: bool,
 }
 
 impl RunObservation {
-    /// Watches a run of `kind` that begins now and usually takes `usual`.
+    /// Observes a run of `kind` that begins now; `expected` is the usual run time of
+    /// its kind, if known.
     #[must_use]
     pub fn new(
-        book: &Rc<RolloutTable>,
+        rollouts: &Rc<RolloutTable>,
         clock: &Rc<dyn Clock>,
         kind: &str,
-        usual: Option<Duration>,
+        expected: Option<Duration>,
     ) -> RunObservation {
         RunObservation {
-            book: Rc::clone(book),
+            rollouts: Rc::clone(rollouts),
             clock: Rc::clone(clock),
             kind: kind.to_owned(),
-            began: clock.now(),
-            far_longer: usual.map(|usual| usual * FAR_LONGER),
-            is_told: false,
+            started_at: clock.now(),
+            slow_after: expected.map(|expected| expected * SLOW_RUN_FACTOR),
+            is_ended: false,
         }
     }
 
-    fn is_far_longer(&self) -> bool {
+    fn is_slow(&self) -> bool {
         let now = self.clock.now();
-        let took = now.saturating_duration_since(self.began);
-        self.book.run_counters.is_warm(now) && self.far_longer.is_some_and(|bound| took > bound)
+        let took = now.saturating_duration_since(self.started_at);
+        self.rollouts.run_counters.is_warm(now) && self.slow_after.is_some_and(|bound| took > bound)
     }
 
-    /// Notes how it ended.
-    pub fn end(mut self, told: CountedOutcome) {
-        self.is_told = true;
-        let is_bad = match told {
+    /// Counts the run by its `outcome`.
+    pub fn end(mut self, outcome: CountedOutcome) {
+        self.is_ended = true;
+        let is_bad = match outcome {
             CountedOutcome::NotCounted => return,
             CountedOutcome::Failure => true,
-            CountedOutcome::Success => self.is_far_longer(),
+            CountedOutcome::Success => self.is_slow(),
         };
-        self.book.run_counters.note(&self.kind, is_bad);
+        self.rollouts.run_counters.record_run(&self.kind, is_bad);
     }
 }
 
 impl Drop for RunObservation {
     fn drop(&mut self) {
-        if !self.is_told && self.is_far_longer() {
-            self.book.run_counters.note(&self.kind, true);
+        if !self.is_ended && self.is_slow() {
+            self.rollouts.run_counters.record_run(&self.kind, true);
         }
     }
 }
 
-/// A tally and when it came.
+/// A report on a target, with the time at which it arrived.
 #[derive(Clone, Debug)]
-pub struct HeardTally {
-    /// The tally.
-    pub tally: TargetReport,
-    /// When it came.
-    pub at: Instant,
+pub struct ReceivedReport {
+    /// The report.
+    pub report: TargetReport,
+    /// Time at which the report arrived.
+    pub received_at: Instant,
 }
 
-/// What other gates counted, by host.
+/// The newest report on each target, by host.
 #[derive(Default)]
-pub struct HeardTallies {
-    by_host: RefCell<BTreeMap<String, HeardTally>>,
-    /// Hosts whose tally has not been passed on.
-    unpassed: RefCell<BTreeSet<String>>,
+pub struct ReceivedReports {
+    by_host: RefCell<BTreeMap<String, ReceivedReport>>,
+    /// Hosts whose newest report has not been forwarded yet.
+    unforwarded: RefCell<BTreeSet<String>>,
 }
 
-impl HeardTallies {
-    /// Takes a tally, unless a newer one came before.
-    pub fn take(&self, tally: TargetReport, now: Instant) {
+impl ReceivedReports {
+    /// Records a report that arrives at `now`. Ignores it if a newer one of the same
+    /// incarnation is known, or if it is of another host and [`MAX_REPORTS`] are kept.
+    pub fn record(&self, report: TargetReport, now: Instant) {
         let mut by_host = self.by_host.borrow_mut();
-        if let Some(known) = by_host.get(&tally.host) {
-            let is_older =
-                known.tally.start == tally.start && known.tally.sequence >= tally.sequence;
+        if let Some(known) = by_host.get(&report.host) {
+            let is_older = known.report.incarnation == report.incarnation
+                && known.report.sequence >= report.sequence;
             if is_older {
                 return;
             }
-        } else if by_host.len() >= MOST_TALLIES {
+        } else if by_host.len() >= MAX_REPORTS {
             return;
         }
-        let host = tally.host.clone();
-        by_host.insert(host.clone(), HeardTally { tally, at: now });
-        self.unpassed.borrow_mut().insert(host);
+        let host = report.host.clone();
+        by_host.insert(
+            host.clone(),
+            ReceivedReport {
+                report,
+                received_at: now,
+            },
+        );
+        self.unforwarded.borrow_mut().insert(host);
     }
 
-    /// The tallies of targets of `service`.
+    /// Returns the reports on targets of `service`.
     #[must_use]
-    pub fn of_service(&self, service: &str) -> Vec<HeardTally> {
+    pub fn for_service(&self, service: &str) -> Vec<ReceivedReport> {
         let by_host = self.by_host.borrow();
-        let of_service = by_host
+        let for_service = by_host
             .values()
-            .filter(|heard| heard.tally.service == service);
-        of_service.cloned().collect()
+            .filter(|received| received.report.service == service);
+        for_service.cloned().collect()
     }
 
-    /// The tallies that came since this was last asked.
+    /// Returns the reports that arrived since the last call of this function.
     #[must_use]
-    pub fn take_unpassed(&self) -> Vec<TargetReport> {
+    pub fn take_unforwarded(&self) -> Vec<TargetReport> {
         let by_host = self.by_host.borrow();
-        let unpassed = self.unpassed.take();
-        let tallies = unpassed.iter().filter_map(|host| by_host.get(host));
-        tallies.map(|heard| heard.tally.clone()).collect()
+        let unforwarded = self.unforwarded.take();
+        let reports = unforwarded.iter().filter_map(|host| by_host.get(host));
+        reports.map(|received| received.report.clone()).collect()
     }
 
-    /// Forgets everything: no roll-out runs.
+    /// Discards all reports. Called when no roll-out is live.
     pub fn clear(&self) {
         self.by_host.borrow_mut().clear();
-        self.unpassed.borrow_mut().clear();
+        self.unforwarded.borrow_mut().clear();
     }
 }
--- a/crates/mesh/src/rollouts/decide.rs
+++ b/crates/mesh/src/rollouts/decide.rs
@@ -1,4 +1,5 @@
-//! What the daemons that ask the store for the fleet decide on roll-outs.
+//! Decisions on the stages of roll-outs, taken by the daemons that query the store
+//! for the fleet.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -9,38 +10,41 @@
 use filbert_policy::rollout::schedule::{ExposureBudget, RolloutView, TrialPlacement};
 use twox_hash::XxHash64;
 
-use super::counters::HeardTally;
-use super::{DecisionTerms, RolloutEntry};
+use super::counters::ReceivedReport;
+use super::{RolloutEntry, StageDecision};
 use crate::state::MeshShared;
 
-/// Pause between two looks at the evidence.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
-/// Pause between two confirmations of a stage.
-const CONFIRM_EVERY: Duration = Duration::from_secs(1);
-/// Age from which a tally is not counted on: its daemon may be gone.
-const TALLY_HOLDS: Duration = Duration::from_millis(1_500);
-/// Age from which the target of a tally is taken for gone, unless its host
-/// still has a row.
-const GONE_AFTER: Duration = Duration::from_secs(4);
+/// Interval between two evaluations of the evidence.
+const EVALUATION_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between two confirmations of a stage.
+const CONFIRMATION_INTERVAL: Duration = Duration::from_secs(1);
+/// Age from which a report no longer counts as the state of its target, as the
+/// target's daemon may have ended.
+const REPORT_TTL: Duration = Duration::from_millis(1_500);
+/// Age of its last report from which a target counts as gone, unless its host is
+/// still known.
+const TARGET_GONE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// One roll-out as this daemon follows it.
-struct FollowedRollout {
+/// What a deciding daemon remembers of one roll-out between evaluations.
+struct RolloutEvaluator {
     judge: CanaryJudge,
-    confirmed: Option<Instant>,
-    /// Open targets of the new version, and when their number last changed.
+    confirmed_at: Option<Instant>,
+    /// Number of targets of the new version that take calls, and the time at which
+    /// this number last changed.
     new_targets: Option<(usize, Instant)>,
 }
 
-impl FollowedRollout {
-    fn new() -> FollowedRollout {
-        FollowedRollout {
+impl RolloutEvaluator {
+    fn new() -> RolloutEvaluator {
+        RolloutEvaluator {
             judge: CanaryJudge::default(),
-            confirmed: None,
+            confirmed_at: None,
             new_targets: None,
         }
     }
 
-    /// Time since the number of new targets, now `count`, last changed.
+    /// Returns the time since the number of new targets last changed; `count` is the
+    /// current number.
     fn stable_for(&mut self, count: usize, now: Instant) -> Duration {
         match self.new_targets {
             Some((before, since)) if before == count => now.saturating_duration_since(since),
@@ -52,18 +56,18 @@
     }
 }
 
-/// Decides on stages, while this daemon asks the store for the fleet. Runs for
-/// ever.
+/// Decides on the stages of live roll-outs while this daemon queries the store for
+/// the fleet. Never returns.
 pub async fn decide_stages(shared: Rc<MeshShared>) {
-    let mut followed: BTreeMap<String, FollowedRollout> = BTreeMap::new();
+    let mut evaluators: BTreeMap<String, RolloutEvaluator> = BTreeMap::new();
     loop {
-        if !shared.rollouts.has_live() {
-            followed.clear();
-            shared.rollouts.until_live().await;
+        if !shared.rollouts.has_any_live() {
+            evaluators.clear();
+            shared.rollouts.wait_until_any_live().await;
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(EVALUATION_INTERVAL).await;
         if !shared.members.is_source() {
-            followed.clear();
+            evaluators.clear();
             continue;
         }
         for service in shared.rollouts.services() {
@@ -71,33 +75,35 @@
                 continue;
             };
             if !entry.is_live() {
-                followed.remove(&service);
+                evaluators.remove(&service);
                 continue;
             }
-            let rollout = followed.entry(service).or_insert_with(FollowedRollout::new);
-            evaluate(&shared, rollout, &entry);
+            let evaluator = evaluators
+                .entry(service)
+                .or_insert_with(RolloutEvaluator::new);
+            evaluate(&shared, evaluator, &entry);
         }
     }
 }
 
-fn evaluate(shared: &Rc<MeshShared>, rollout: &mut FollowedRollout, entry: &RolloutEntry) {
+fn evaluate(shared: &Rc<MeshShared>, evaluator: &mut RolloutEvaluator, entry: &RolloutEntry) {
     let service = entry.record.service.as_str();
-    // Nothing begins before the store has taken this order: it may have been
-    // seen to its end before this daemon started.
-    if !entry.is_recorded {
+    // A roll-out starts only after its order is in its row: the row may show that
+    // the roll-out ended before this daemon started.
+    if !entry.is_order_stored {
         shared.rollouts.has_unwritten.notify_one();
         return;
     }
     let now = shared.clock.now();
-    let tallies = shared.rollouts.heard.of_service(service);
-    let verdict = rollout
+    let reports = shared.rollouts.reports.for_service(service);
+    let verdict = evaluator
         .judge
-        .evaluate(&counts_of(&tallies, &entry.record.to), now);
+        .evaluate(&target_counts(&reports, &entry.record.to), now);
     shared
         .rollouts
         .set_evidence(service, evidence_line(&verdict));
-    let mut view = view_of(shared, entry, &tallies, &verdict, now);
-    view.new_targets_stable_for = rollout.stable_for(view.new_targets, now);
+    let mut view = rollout_view(shared, entry, &reports, &verdict, now);
+    view.new_targets_stable_for = evaluator.stable_for(view.new_targets, now);
     let budget = ExposureBudget {
         share: shared.settings.borrow().rollout.share,
         slack: shared.settings.borrow().rollout.slack,
@@ -105,8 +111,9 @@
         placement: TrialPlacement::FewTargets,
     };
     match budget.next_stage(&view) {
-        // Written first, under its condition.
-        Some((RolloutStage::Completed, reason)) => shared.rollouts.want_completion(service, reason),
+        // The completion is first written to the store, on condition that the row is
+        // unchanged. The stage changes only after that.
+        Some((RolloutStage::Completed, reason)) => shared.rollouts.set_completion(service, reason),
         Some((stage, reason)) => {
             log::info!(
                 "event=rollout_decided service={service} to={} stage={stage:?} reason={reason:?} elapsed_ms={} new_targets={} old_targets={} old_at_work={} old_unheard={} {}",
@@ -118,28 +125,33 @@
                 view.old_unheard,
                 evidence_line(&verdict)
             );
-            let begins = reason == StageReason::TargetsReady;
-            let canaries = begins.then(|| {
-                let terms = budget.trial_size(&view);
-                choose_canaries(&tallies, &entry.record.to, terms.canaries)
+            let is_trial_start = reason == StageReason::TargetsReady;
+            let canaries = is_trial_start.then(|| {
+                let size = budget.trial_size(&view);
+                choose_canaries(&reports, &entry.record.to, size.canaries)
             });
-            let terms = DecisionTerms {
+            let decision = StageDecision {
                 decided_by: shared.settings.borrow().id.clone(),
                 canaries,
             };
-            shared.rollouts.decide(service, stage, reason, terms);
-            rollout.confirmed = Some(now);
+            shared
+                .rollouts
+                .enter_stage(service, stage, reason, decision);
+            evaluator.confirmed_at = Some(now);
         }
         None => {
-            if rollout.confirmed.is_none_or(|at| now >= at + CONFIRM_EVERY) {
-                rollout.confirmed = Some(now);
+            if evaluator
+                .confirmed_at
+                .is_none_or(|at| now >= at + CONFIRMATION_INTERVAL)
+            {
+                evaluator.confirmed_at = Some(now);
                 shared.rollouts.confirm(service);
             }
         }
     }
 }
 
-/// What a verdict rests on, in words.
+/// Formats the evidence that a verdict is based on, for log lines and operators.
 fn evidence_line(verdict: &Verdict) -> String {
     format!(
         "evidence={:.1} kind={} span_ms={} new_ended={} new_bad={} old_ended={} old_bad={}",
@@ -153,10 +165,10 @@
     )
 }
 
-fn counts_of<'a>(tallies: &'a [HeardTally], to: &str) -> Vec<TargetCounts<'a>> {
-    let of_one = |heard: &'a HeardTally| {
-        let tally = &heard.tally;
-        let counts = tally.kinds.iter().map(|kind| {
+fn target_counts<'a>(reports: &'a [ReceivedReport], to: &str) -> Vec<TargetCounts<'a>> {
+    let one_target = |received: &'a ReceivedReport| {
+        let report = &received.report;
+        let counts = report.kinds.iter().map(|kind| {
             let counts = CallCounts {
                 ended: kind.ended,
                 bad: kind.bad,
@@ -164,71 +176,80 @@
             (kind.kind.as_str(), counts)
         });
         TargetCounts {
-            target_id: &tally.host,
-            zone: &tally.zone,
-            side: side_of(heard, to),
+            target_id: &report.host,
+            zone: &report.zone,
+            side: version_side(received, to),
             kinds: counts.collect(),
         }
     };
-    tallies.iter().map(of_one).collect()
+    reports.iter().map(one_target).collect()
 }
 
-fn side_of(heard: &HeardTally, to: &str) -> VersionSide {
-    if heard.tally.software == to {
+fn version_side(received: &ReceivedReport, to: &str) -> VersionSide {
+    if received.report.software == to {
         VersionSide::New
     } else {
         VersionSide::Old
     }
 }
 
-fn view_of(
+fn rollout_view(
     shared: &MeshShared,
     entry: &RolloutEntry,
-    tallies: &[HeardTally],
+    reports: &[ReceivedReport],
     verdict: &Verdict,
     now: Instant,
 ) -> RolloutView {
     let to = entry.record.to.as_str();
-    let is_heard = |heard: &&HeardTally| now < heard.at + TALLY_HOLDS;
-    let open = |side| {
-        let is_open = |heard: &&HeardTally| heard.tally.is_open && side_of(heard, to) == side;
-        tallies.iter().filter(is_heard).filter(is_open).count()
+    let is_recent = |received: &&ReceivedReport| now < received.received_at + REPORT_TTL;
+    let count_accepting = |side| {
+        let accepts_calls = |received: &&ReceivedReport| {
+            received.report.accepts_calls && version_side(received, to) == side
+        };
+        reports
+            .iter()
+            .filter(is_recent)
+            .filter(accepts_calls)
+            .count()
     };
     let known = (entry.record.order, entry.record.step);
-    let old = tallies
+    let old = reports
         .iter()
-        .filter(|heard| side_of(heard, to) == VersionSide::Old);
+        .filter(|received| version_side(received, to) == VersionSide::Old);
     let mut old_at_work = 0;
     let mut old_unheard = 0;
-    for heard in old {
-        if is_heard(&heard) && heard.tally.known == Some(known) {
-            old_at_work += heard.tally.at_work;
-        } else if now < heard.at + GONE_AFTER || shared.members.has_host(&heard.tally.host) {
+    for received in old {
+        if is_recent(&received) && received.report.known_step == Some(known) {
+            old_at_work += received.report.calls_in_progress;
+        } else if now < received.received_at + TARGET_GONE_TIMEOUT
+            || shared.members.has_host(&received.report.host)
+        {
             old_unheard += 1;
         }
     }
     RolloutView {
         stage: entry.record.stage,
-        stage_age: now.saturating_duration_since(entry.stage_since),
-        elapsed: now.saturating_duration_since(entry.ordered),
+        stage_age: now.saturating_duration_since(entry.stage_entered_at),
+        elapsed: now.saturating_duration_since(entry.ordered_at),
         allowed: entry.record.allowed,
-        new_targets: open(VersionSide::New),
+        new_targets: count_accepting(VersionSide::New),
         new_targets_stable_for: Duration::ZERO,
-        old_targets: open(VersionSide::Old),
+        old_targets: count_accepting(VersionSide::Old),
         verdict: verdict.clone(),
         old_at_work,
         old_unheard,
     }
 }
 
-/// `count` hosts of new targets, from all availability zones in turn.
-fn choose_canaries(tallies: &[HeardTally], to: &str, count: usize) -> Vec<String> {
+/// Chooses the hosts of `count` new targets, from the availability zones in turn.
+/// Returns none if that would be all of them: an empty list means all new targets.
+fn choose_canaries(reports: &[ReceivedReport], to: &str, count: usize) -> Vec<String> {
     let mut by_zone: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     let mut total = 0;
-    for heard in tallies {
-        if side_of(heard, to) == VersionSide::New && heard.tally.is_open {
-            let of_zone = by_zone.entry(&heard.tally.zone).or_default();
-            of_zone.push(&heard.tally.host);
+    for received in reports {
+        if version_side(received, to) == VersionSide::New && received.report.accepts_calls {
+            let of_zone = by_zone.entry(&received.report.zone).or_default();
+            of_zone.push(&received.report.host);
             total += 1;
         }
     }
--- a/crates/mesh/src/rollouts/messages.rs
+++ b/crates/mesh/src/rollouts/messages.rs
@@ -1,54 +1,57 @@
-//! What daemons tell each other of roll-outs.
+//! Messages between daemons about roll-outs.
 
 use std::time::Duration;
 
 use filbert_policy::rollout::record::{OrderId, RolloutRecord};
 use serde::{Deserialize, Serialize};
 
-/// A note on its way, with ages in place of times: clocks differ.
+/// Record of a roll-out, sent to another daemon. Times are relative to the order,
+/// as the clocks of hosts differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutUpdate {
-    /// The note.
+    /// The record.
     pub record: RolloutRecord,
     /// Time since the order.
     pub elapsed: Duration,
-    /// Time from the order to the newest confirmation by a decider.
-    pub confirmed: Duration,
+    /// Time from the order to the newest confirmation by a deciding daemon.
+    pub confirmed_after: Duration,
 }
 
-/// Counters of the gate beside one target. They only grow, so the newest of two
-/// replaces the older.
+/// State of one target and counters of its runs, reported by the daemon of its
+/// host. The counters only grow until the target is replaced, so a newer report
+/// replaces an older one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetReport {
     /// The target's host.
     pub host: String,
-    /// A random number of the gate's start.
-    pub start: u64,
-    /// Grows with each tally of one start.
+    /// Random number drawn at the start of the daemon.
+    pub incarnation: u64,
+    /// Number of the report within one incarnation of the daemon. Newer reports have
+    /// greater numbers.
     pub sequence: u64,
     /// The target's availability zone.
     pub zone: String,
-    /// Its service.
+    /// Service of the target.
     pub service: String,
-    /// Its software version.
+    /// Software version of the target.
     pub software: String,
-    /// Whether it takes calls, but for what the roll-out says.
-    pub is_open: bool,
-    /// Calls at work or waiting there.
-    pub at_work: u32,
-    /// The order and step that its daemon knows.
-    pub known: Option<(OrderId, u32)>,
-    /// Its runs, by kind of call.
+    /// Whether the target would take calls if the roll-out lets it.
+    pub accepts_calls: bool,
+    /// Calls that run or wait at the target.
+    pub calls_in_progress: u32,
+    /// Order and step of the roll-out that the daemon knows.
+    pub known_step: Option<(OrderId, u32)>,
+    /// Counters of the target's runs, by kind of call.
     pub kinds: Vec<KindCounts>,
 }
 
-/// Runs of one kind of call.
+/// Counters of the runs of one kind of call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KindCounts {
-    /// The route's name.
+    /// Name of the route.
     pub kind: String,
     /// Runs that ended.
     pub ended: u64,
-    /// Those that failed or took far longer than usual.
+    /// Runs that failed or took far longer than usual.
     pub bad: u64,
 }
--- a/crates/mesh/src/rollouts/mod.rs
+++ b/crates/mesh/src/rollouts/mod.rs
@@ -1,9 +1,10 @@
-//! Roll-outs as this daemon knows them: the book of notes, which calls and
-//! gates keep to, and the counters that verdicts rest on.
+//! Canary roll-outs of software versions, as one daemon sees them.
 //!
-//! [`messages`] is what daemons tell each other, [`replication`] how it travels,
-//! [`decide`] and [`row_writer`] are the work of the daemons that ask the store for
-//! the fleet.
+//! [`RolloutTable`] holds the newest record of each service's roll-out, which
+//! routing and the gate obey. [`counters`] counts the outcomes of runs that
+//! verdicts are based on. [`messages`] defines the messages that daemons exchange,
+//! and [`replication`] sends them. The daemons that query the store for the fleet
+//! also decide on stages ([`decide`]) and write them to the store ([`row_writer`]).
 
 pub mod counters;
 pub mod decide;
@@ -25,80 +26,81 @@
 use tokio::sync::Notify;
 
 use crate::metrics::MeshMetrics;
-use counters::{GateTally, HeardTallies};
+use counters::{ReceivedReports, RunCounters};
 use entry::RecordUpdate;
 pub use entry::RolloutEntry;
 use row::RolloutRow;
 
-/// The book that the daemon's parts share.
+/// The roll-outs of all services that this daemon knows of.
 pub struct RolloutTable {
     entries: RefCell<BTreeMap<String, RolloutEntry>>,
     clock: Rc<dyn Clock>,
     metrics: Rc<MeshMetrics>,
-    /// The counters of the gate here.
-    pub run_counters: GateTally,
-    /// Counters of other gates.
-    pub heard: HeardTallies,
-    /// Services whose entry changed and has to be told.
-    untold: RefCell<Vec<String>>,
-    /// Wakes whoever tells.
-    has_untold: Notify,
-    /// Wakes whoever keeps the rows.
+    /// Outcomes of runs at this daemon's target.
+    pub run_counters: RunCounters,
+    /// Reports on targets: received ones and those of this daemon's own target.
+    pub reports: ReceivedReports,
+    /// Services whose entry changed and has not been sent to other daemons yet.
+    unsent_services: RefCell<Vec<String>>,
+    /// Wakes the task that sends changed entries.
+    has_unsent: Notify,
+    /// Wakes the task that writes rows to the store.
     pub has_unwritten: Notify,
-    /// Wakes the gate here: a stage changed.
+    /// Signals that a stage changed, which may open or close the gate.
     pub stage_changed: Notify,
-    /// Wakes whoever works only while roll-outs run.
-    has_news: Notify,
-    /// Orders that wait until the rows were read.
-    waiting: RefCell<BTreeMap<String, RolloutRecord>>,
-    /// Whether the rows were read since this daemon started, and since the store
-    /// last came back from an older copy.
-    has_read_rows: Cell<bool>,
-    /// Whether any roll-out was ever heard of: most daemons never do.
-    is_used: Cell<bool>,
+    /// Wakes tasks that wait for a roll-out to be known or to be live.
+    rollouts_changed: Notify,
+    /// Orders that are applied once the rows have been loaded, by service.
+    deferred_orders: RefCell<BTreeMap<String, RolloutRecord>>,
+    /// Whether the rows were loaded since this daemon started, and since the store
+    /// was last restored from an older copy.
+    has_loaded_rows: Cell<bool>,
+    /// Whether any roll-out was ever known. Most daemons never know one, and skip
+    /// the look-ups on the path of each call.
+    has_any: Cell<bool>,
 }
 
 impl RolloutTable {
-    /// An empty book.
+    /// Creates an empty table.
     #[must_use]
     pub fn new(metrics: Rc<MeshMetrics>, clock: Rc<dyn Clock>) -> Rc<RolloutTable> {
         Rc::new(RolloutTable {
             entries: RefCell::default(),
             clock,
             metrics,
-            run_counters: GateTally::default(),
-            heard: HeardTallies::default(),
-            untold: RefCell::default(),
-            has_untold: Notify::new(),
+            run_counters: RunCounters::default(),
+            reports: ReceivedReports::default(),
+            unsent_services: RefCell::default(),
+            has_unsent: Notify::new(),
             has_unwritten: Notify::new(),
             stage_changed: Notify::new(),
-            has_news: Notify::new(),
-            waiting: RefCell::default(),
-            has_read_rows: Cell::new(false),
-            is_used: Cell::new(false),
+            rollouts_changed: Notify::new(),
+            deferred_orders: RefCell::default(),
+            has_loaded_rows: Cell::new(false),
+            has_any: Cell::new(false),
         })
     }
 
-    /// The services with an entry.
+    /// Returns the services that have an entry.
     #[must_use]
     pub fn services(&self) -> Vec<String> {
         self.entries.borrow().keys().cloned().collect()
     }
 
-    /// What is known of the roll-out of `service`.
+    /// Returns the entry of `service`; `None` if no roll-out of it is known.
     #[must_use]
     pub fn entry(&self, service: &str) -> Option<RolloutEntry> {
-        if !self.is_used.get() {
+        if !self.has_any.get() {
             return None;
         }
         self.entries.borrow().get(service).cloned()
     }
 
-    /// The targets that the call `id` to `service` may go to; `None` without a
-    /// roll-out.
+    /// Returns the versions that the call `id` to `service` may go to; `None` if no
+    /// roll-out of the service is known.
     #[must_use]
     pub fn version_preference(&self, service: &str, id: &str) -> Option<CallPreference> {
-        if !self.is_used.get() {
+        if !self.has_any.get() {
             return None;
         }
         let entries = self.entries.borrow();
@@ -111,10 +113,11 @@
         })
     }
 
-    /// Whether a target of `service` that runs `software` takes calls on `host`.
+    /// Whether the roll-out of `service`, if any, lets a target on `host` that runs
+    /// version `software` take calls.
     #[must_use]
     pub fn admits(&self, service: &str, software: &str, host: &str) -> bool {
-        if !self.is_used.get() {
+        if !self.has_any.get() {
             return true;
         }
         let entries = self.entries.borrow();
@@ -124,16 +127,16 @@
         let record = &entry.record;
         let is_on_trial =
             software == record.to && matches!(record.stage, RolloutStage::Trial { .. });
-        let is_left_out = is_on_trial
+        let is_excluded = is_on_trial
             && !record.canaries.is_empty()
             && !record.canaries.iter().any(|canary| canary == host);
-        !is_left_out && record.admits(software, entry.is_fresh(self.clock.now()))
+        !is_excluded && record.admits(software, entry.is_fresh(self.clock.now()))
     }
 
-    /// Whether the runs of `service` are counted.
+    /// Whether `service` has a live roll-out, during which its runs are counted.
     #[must_use]
     pub fn has_live_rollout(&self, service: &str) -> bool {
-        self.is_used.get()
+        self.has_any.get()
             && self
                 .entries
                 .borrow()
@@ -141,33 +144,33 @@
                 .is_some_and(RolloutEntry::is_live)
     }
 
-    /// Whether any roll-out has not come to its end.
+    /// Whether any roll-out has not reached a final stage.
     #[must_use]
-    pub fn has_live(&self) -> bool {
-        self.is_used.get() && self.entries.borrow().values().any(RolloutEntry::is_live)
+    pub fn has_any_live(&self) -> bool {
+        self.has_any.get() && self.entries.borrow().values().any(RolloutEntry::is_live)
     }
 
-    /// Waits until a roll-out runs; at once while one does.
-    pub async fn until_live(&self) {
-        self.until(|| self.has_live()).await;
+    /// Waits until a roll-out is live; returns at once if one is.
+    pub async fn wait_until_any_live(&self) {
+        self.wait_until(|| self.has_any_live()).await;
     }
 
-    /// Waits until any roll-out was heard of.
-    pub async fn until_used(&self) {
-        self.until(|| self.is_used.get()).await;
+    /// Waits until any roll-out is known.
+    pub async fn wait_until_any(&self) {
+        self.wait_until(|| self.has_any.get()).await;
     }
 
-    async fn until(&self, holds: impl Fn() -> bool) {
+    async fn wait_until(&self, holds: impl Fn() -> bool) {
         loop {
-            let news = self.has_news.notified();
+            let changed = self.rollouts_changed.notified();
             if holds() {
                 return;
             }
-            news.await;
+            changed.await;
         }
     }
 
-    /// Hosts whose targets are tried now: every daemon links to them.
+    /// Returns the canary hosts of all live roll-outs. Every daemon links to them.
     #[must_use]
     pub fn canaries(&self) -> Vec<String> {
         let entries = self.entries.borrow();
@@ -176,25 +179,27 @@
             .collect()
     }
 
-    /// Takes an order that was read from the store.
+    /// Applies an order that was read from the store, or defers it until the rows of
+    /// roll-outs have been loaded.
     ///
-    /// Guards against an order that is begun again: it lies in the store for
-    /// ever, also after its end. Until the rows of roll-outs were read it waits.
-    pub fn take_order(&self, order: RolloutRecord) {
-        if !self.has_read_rows.get() {
+    /// An order remains in the store after its roll-out has ended. Without the rows,
+    /// it would be started again.
+    pub fn apply_order(&self, order: RolloutRecord) {
+        if !self.has_loaded_rows.get() {
             let service = order.service.clone();
-            self.waiting.borrow_mut().insert(service, order);
+            self.deferred_orders.borrow_mut().insert(service, order);
             return;
         }
         if let Some(entry) = self.entry(&order.service) {
             if entry.record.is_same_order(&order) {
-                // Read again, or written again after the store came back.
-                let rebound = RolloutRecord {
+                // The order was read again, or was written again after the store
+                // was restored from an older copy and so has a new id.
+                let renumbered = RolloutRecord {
                     order: entry.record.order.max(order.order),
                     ..entry.record.clone()
                 };
-                let elapsed = self.clock.now().saturating_duration_since(entry.ordered);
-                self.merge(&rebound, elapsed, entry.confirmed, "order");
+                let elapsed = self.clock.now().saturating_duration_since(entry.ordered_at);
+                self.merge(&renumbered, elapsed, entry.confirmed_after, "order");
                 return;
             }
         }
@@ -210,82 +215,88 @@
         self.has_unwritten.notify_one();
     }
 
-    /// Notes that all rows of roll-outs were read.
+    /// Marks the rows of all roll-outs as loaded, and applies the deferred orders.
     pub fn mark_rows_loaded(&self) {
-        self.has_read_rows.set(true);
-        for order in self.waiting.take().into_values() {
-            self.take_order(order);
+        self.has_loaded_rows.set(true);
+        for order in self.deferred_orders.take().into_values() {
+            self.apply_order(order);
         }
     }
 
-    /// Takes the row of a roll-out, as it stands in the store since `version`.
-    pub fn take_row(&self, stored: &RolloutRow, version: u64, elapsed: Duration) {
+    /// Applies the row of a roll-out, which the store holds since its version
+    /// `version`; `elapsed` is the time since the order.
+    pub fn apply_row(&self, stored: &RolloutRow, version: u64, elapsed: Duration) {
         let record = &stored.record;
         self.merge(record, elapsed, Duration::ZERO, "store");
         let mut entries = self.entries.borrow_mut();
         let Some(entry) = entries.get_mut(&record.service) else {
             return;
         };
-        entry.row_at = version;
-        // An older copy may show a roll-out that has ended since as under way.
+        entry.row_version = version;
+        // After a restore from an older copy, the row may show a stage from before
+        // the end of the roll-out.
         let is_behind = entry.record.stage.is_final() && !record.stage.is_final();
-        entry.is_recorded = entry.record.is_same_order(record) && !is_behind;
-        entry.recorded_step = record.step;
+        entry.is_order_stored = entry.record.is_same_order(record) && !is_behind;
+        entry.stored_step = record.step;
         if record.stage.is_final() && !stored.evidence.is_empty() {
             entry.evidence.clone_from(&stored.evidence);
         }
-        if !entry.is_recorded {
+        if !entry.is_order_stored {
             self.has_unwritten.notify_one();
         }
     }
 
-    /// Notes that there is no row of `service`.
-    pub fn row_is_missing(&self, service: &str) {
+    /// Records that the store has no row for the roll-out of `service`, so that it
+    /// is written.
+    pub fn mark_row_missing(&self, service: &str) {
         if let Some(entry) = self.entries.borrow_mut().get_mut(service) {
-            entry.row_at = 0;
-            entry.is_recorded = false;
+            entry.row_version = 0;
+            entry.is_order_stored = false;
         }
         self.has_unwritten.notify_one();
     }
 
-    /// Has the end of the old version written.
-    pub fn want_completion(&self, service: &str, reason: StageReason) {
+    /// Has the completion of the roll-out written to the store, with `reason`. The
+    /// stage changes once it is written.
+    pub fn set_completion(&self, service: &str, reason: StageReason) {
         if let Some(entry) = self.entries.borrow_mut().get_mut(service) {
-            entry.completes = Some(reason);
+            entry.completion_reason = Some(reason);
         }
         self.has_unwritten.notify_one();
     }
 
-    /// The services of which there is news to tell, as soon as there are some.
-    pub async fn next_untold(&self) -> Vec<String> {
+    /// Waits until there are changed entries that have not been sent, and returns their
+    /// services.
+    pub async fn next_unsent(&self) -> Vec<String> {
         loop {
-            let mut services = self.untold.take();
+            let mut services = self.unsent_services.take();
             if !services.is_empty() {
                 services.sort_unstable();
                 services.dedup();
                 return services;
             }
-            self.has_untold.notified().await;
+            self.has_unsent.notified().await;
         }
     }
 
-    /// Takes a note, told `elapsed` after its order and confirmed `confirmed`
-    /// after it; what is news is told on.
+    /// Merges a record that was received from `from`, `elapsed` after its order, and
+    /// was last confirmed `confirmed_after` after its order. If this changes the
+    /// entry, the entry is sent to other daemons.
     pub fn merge(
         &self,
         record: &RolloutRecord,
         elapsed: Duration,
-        confirmed: Duration,
+        confirmed_after: Duration,
         from: &str,
     ) {
-        self.is_used.set(true);
+        self.has_any.set(true);
         let now = self.clock.now();
         let is_news = {
             let mut entries = self.entries.borrow_mut();
             if let Some(entry) = entries.get_mut(&record.service) {
-                entry.merge(record, elapsed, confirmed, now)
+                entry.merge(record, elapsed, confirmed_after, now)
             } else {
-                let entry = RolloutEntry::new(record, elapsed, confirmed, now);
+                let entry = RolloutEntry::new(record, elapsed, confirmed_after, now);
                 entries.insert(record.service.clone(), entry);
                 RecordUpdate::Stage
             }
@@ -293,13 +304,15 @@
         match is_news {
             RecordUpdate::None => return,
             RecordUpdate::Confirmed => {}
-            RecordUpdate::Stage => self.say_stage(record, from),
+            RecordUpdate::Stage => self.log_stage(record, from),
         }
-        self.untold.borrow_mut().push(record.service.clone());
-        self.has_untold.notify_one();
+        self.unsent_services
+            .borrow_mut()
+            .push(record.service.clone());
+        self.has_unsent.notify_one();
     }
 
-    fn say_stage(&self, record: &RolloutRecord, from: &str) {
+    fn log_stage(&self, record: &RolloutRecord, from: &str) {
         log::info!(
             "event=rollout_stage service={} to={} order={}.{} step={} stage={:?} reason={:?} decided_by={} written={} canaries={:?} from={from}",
             record.service,
@@ -316,57 +329,58 @@
         self.metrics
             .rollout(&record.service, stage_label(record.stage));
         self.stage_changed.notify_one();
-        self.has_news.notify_waiters();
+        self.rollouts_changed.notify_waiters();
         if !record.is_written {
             self.has_unwritten.notify_one();
         }
     }
 
-    /// Takes the next stage that this daemon decided.
-    pub fn decide(
+    /// Enters the next stage, on which this daemon decided. Does nothing if no
+    /// roll-out of `service` is known.
+    pub fn enter_stage(
         &self,
         service: &str,
         stage: RolloutStage,
         reason: StageReason,
-        terms: DecisionTerms,
+        decision: StageDecision,
     ) {
         let Some(entry) = self.entry(service) else {
             return;
         };
-        let mut record = entry.record.next(stage, reason, &terms.decided_by);
-        if let Some(canaries) = terms.canaries {
+        let mut record = entry.record.next(stage, reason, &decision.decided_by);
+        if let Some(canaries) = decision.canaries {
             record.canaries = canaries;
         }
-        let elapsed = self.clock.now().saturating_duration_since(entry.ordered);
+        let elapsed = self.clock.now().saturating_duration_since(entry.ordered_at);
         self.merge(&record, elapsed, elapsed, "here");
     }
 
-    /// Confirms the stage of `service`: a decider holds to it.
+    /// Confirms the current stage of `service` on behalf of this deciding daemon.
     pub fn confirm(&self, service: &str) {
         if let Some(entry) = self.entry(service) {
-            let elapsed = self.clock.now().saturating_duration_since(entry.ordered);
+            let elapsed = self.clock.now().saturating_duration_since(entry.ordered_at);
             self.merge(&entry.record, elapsed, elapsed, "here");
         }
     }
 
-    /// Notes what a verdict rests on.
+    /// Sets the text that describes the evidence for the verdict.
     pub fn set_evidence(&self, service: &str, evidence: String) {
         if let Some(entry) = self.entries.borrow_mut().get_mut(service) {
             entry.evidence = evidence;
         }
     }
 
-    /// Forgets what the store held: it came back from an older copy.
+    /// Discards what is known of the rows: the store was restored from an older copy.
     pub fn reset_row_state(&self) {
-        self.has_read_rows.set(false);
+        self.has_loaded_rows.set(false);
         for entry in self.entries.borrow_mut().values_mut() {
-            entry.row_at = 0;
-            entry.is_recorded = false;
+            entry.row_version = 0;
+            entry.is_order_stored = false;
         }
     }
 
-    /// The order in force for `service` with its step, for those who wait for
-    /// this daemon to know it.
+    /// Returns the order and step of the roll-out of `service` that this daemon
+    /// knows. The deciding daemons wait for it to reach the current step.
     #[must_use]
     pub fn known_step(&self, service: &str) -> Option<(OrderId, u32)> {
         let entry = self.entry(service)?;
@@ -374,24 +388,24 @@
     }
 }
 
-/// What a decision carries beside its stage.
-pub struct DecisionTerms {
-    /// This host's name.
+/// Details of a decision to enter a stage.
+pub struct StageDecision {
+    /// Name of the deciding daemon's host.
     pub decided_by: String,
-    /// Hosts that are tried, where that changes.
+    /// The new canary hosts; `None` if they stay the same.
     pub canaries: Option<Vec<String>>,
 }
 
-/// The targets that one call may go to.
+/// The versions that one call may go to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallPreference {
-    /// Which.
+    /// Preference between the new version and the others.
     pub version_preference: VersionPreference,
     /// The new version.
     pub to: String,
 }
 
-/// The stage as metrics name it.
+/// Returns the name of `stage` in metrics and in the output of `filbertctl`.
 #[must_use]
 pub fn stage_label(stage: RolloutStage) -> &'static str {
     match stage {
--- a/crates/mesh/src/rollouts/replication.rs
+++ b/crates/mesh/src/rollouts/replication.rs
@@ -1,4 +1,5 @@
-//! Passes notes on to all daemons, and counters to those that decide.
+//! Sends records of roll-outs to all daemons, and reports on targets to the daemons
+//! that decide on stages.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,107 +9,111 @@
 
 use super::messages::{RolloutUpdate, TargetReport};
 
-/// Pause between two tallies of a gate. With the way over a reader, evidence is
-/// at the deciders within twice this.
-const TALLY_EVERY: Duration = Duration::from_millis(250);
-/// Tallies in one message.
-const MOST_TALLIES: usize = 64;
+/// Interval at which a daemon reports on its target, and a reader forwards reports.
+/// Reports reach the deciding daemons through one reader at most, so within twice
+/// this time.
+const REPORT_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum number of reports in one message.
+const MAX_REPORTS_PER_MESSAGE: usize = 64;
 
 impl MeshShared {
-    /// The roll-outs as a daemon that just linked is told.
+    /// Returns the message with all roll-outs, sent on a new link; `None` if no
+    /// roll-out is known.
     #[must_use]
     pub fn all_rollouts(&self) -> Option<LinkMessage> {
-        self.rollout_news(&self.rollouts.services())
+        self.rollout_updates(&self.rollouts.services())
     }
 
-    fn rollout_news(&self, services: &[String]) -> Option<LinkMessage> {
+    fn rollout_updates(&self, services: &[String]) -> Option<LinkMessage> {
         let now = self.clock.now();
-        let news: Vec<RolloutUpdate> = services
+        let updates: Vec<RolloutUpdate> = services
             .iter()
             .filter_map(|service| self.rollouts.entry(service))
             .map(|entry| RolloutUpdate {
-                elapsed: now.saturating_duration_since(entry.ordered),
-                confirmed: entry.confirmed,
+                elapsed: now.saturating_duration_since(entry.ordered_at),
+                confirmed_after: entry.confirmed_after,
                 record: entry.record,
             })
             .collect();
-        (!news.is_empty()).then_some(LinkMessage::Rollouts(news))
+        (!updates.is_empty()).then_some(LinkMessage::Rollouts(updates))
     }
 
-    /// Takes what daemon `from` tells of roll-outs.
-    pub fn merge_rollouts(&self, news: &[RolloutUpdate], from: &str) {
-        for told in news {
+    /// Merges the records that daemon `from` sent.
+    pub fn merge_rollouts(&self, updates: &[RolloutUpdate], from: &str) {
+        for update in updates {
             self.rollouts
-                .merge(&told.record, told.elapsed, told.confirmed, from);
+                .merge(&update.record, update.elapsed, update.confirmed_after, from);
         }
     }
 
-    /// Takes counters of other gates.
-    pub fn record_reports(&self, tallies: Vec<TargetReport>) {
+    /// Records reports on targets.
+    pub fn record_reports(&self, reports: Vec<TargetReport>) {
         let now = self.clock.now();
-        for tally in tallies {
-            self.rollouts.heard.take(tally, now);
+        for report in reports {
+            self.rollouts.reports.record(report, now);
         }
     }
 
-    /// The counters of the gate here, while its service has a roll-out.
-    fn own_tally(&self) -> Option<TargetReport> {
+    /// Returns the report on this daemon's target; `None` if there is no target or
+    /// its service has no live roll-out.
+    fn local_report(&self) -> Option<TargetReport> {
         let status = self.gate.status()?;
         if !self.rollouts.has_live_rollout(&status.service) {
             return None;
         }
-        let (sequence, kinds) = self.rollouts.run_counters.read();
+        let (sequence, kinds) = self.rollouts.run_counters.snapshot();
         let settings = self.settings.borrow();
         Some(TargetReport {
             host: settings.id.clone(),
-            start: self.seed,
+            incarnation: self.seed,
             sequence,
             zone: settings.zone.clone(),
-            known: self.rollouts.known_step(&status.service),
-            is_open: self.gate.would_take(),
-            at_work: self.gate.in_work(),
+            known_step: self.rollouts.known_step(&status.service),
+            accepts_calls: self.gate.would_take(),
+            calls_in_progress: self.gate.in_work(),
             software: status.software,
             service: status.service,
             kinds,
         })
     }
 
-    /// Tells counters to the daemons that tell this one what lies in the store:
-    /// readers pass them on to the sources.
-    fn pass_tallies(&self) {
-        let own = self.own_tally();
-        if let Some(own) = own {
-            self.record_reports(vec![own]);
+    /// Sends the reports that arrived since the last time, and the one on this
+    /// daemon's own target, to the upstreams of this daemon. Readers thereby forward
+    /// them to the sources, which decide.
+    fn forward_reports(&self) {
+        let local = self.local_report();
+        if let Some(local) = local {
+            self.record_reports(vec![local]);
         }
-        let tallies = self.rollouts.heard.take_unpassed();
-        if self.members.is_source() || tallies.is_empty() {
+        let reports = self.rollouts.reports.take_unforwarded();
+        if self.members.is_source() || reports.is_empty() {
             return;
         }
         for upstream in self.linked_upstreams() {
-            for part in tallies.chunks(MOST_TALLIES) {
-                upstream.say(LinkMessage::TargetReports(part.to_vec()));
+            for chunk in reports.chunks(MAX_REPORTS_PER_MESSAGE) {
+                upstream.say(LinkMessage::TargetReports(chunk.to_vec()));
             }
         }
     }
 }
 
-/// Passes on what changed, to all daemons linked either way. Runs for ever.
+/// Sends changed records to all daemons linked in either direction. Never returns.
 pub async fn send_updates(shared: Rc<MeshShared>) {
     loop {
-        let services = shared.rollouts.next_untold().await;
-        let Some(message) = shared.rollout_news(&services) else {
+        let services = shared.rollouts.next_unsent().await;
+        let Some(message) = shared.rollout_updates(&services) else {
             continue;
         };
         shared.peers.broadcast(&encode(&message));
         for peer in shared.peers.all() {
             peer.say(message.clone());
         }
-        // Canaries are linked to by all.
+        // The set of canaries, which every daemon links to, may have changed.
         shared.members.changed.notify_one();
     }
 }
 
-/// Shuts and opens the gate here as stages change. Runs for ever.
+/// Opens or closes the gate of this daemon's target as stages change. Never returns.
 pub async fn apply_stages_to_gate(shared: Rc<MeshShared>) {
     loop {
         shared.rollouts.stage_changed.notified().await;
@@ -116,14 +121,14 @@
     }
 }
 
-/// Tells counters while roll-outs run. Runs for ever.
+/// Sends reports on targets while any roll-out is live. Never returns.
 pub async fn report_run_counts(shared: Rc<MeshShared>) {
     loop {
-        shared.rollouts.until_live().await;
-        while shared.rollouts.has_live() {
-            tokio::time::sleep(TALLY_EVERY).await;
-            shared.pass_tallies();
+        shared.rollouts.wait_until_any_live().await;
+        while shared.rollouts.has_any_live() {
+            tokio::time::sleep(REPORT_INTERVAL).await;
+            shared.forward_reports();
         }
-        shared.rollouts.heard.clear();
+        shared.rollouts.reports.clear();
     }
 }
--- a/crates/mesh/src/rollouts/row.rs
+++ b/crates/mesh/src/rollouts/row.rs
@@ -1,5 +1,5 @@
-//! The row of a roll-out in the table of hosts, which is read and followed
-//! anyway: it outlives the daemons.
+//! Rows of roll-outs in the store. They outlive the daemons, and stand in the table
+//! of hosts, which daemons read and watch anyway.
 
 use std::time::Duration;
 
@@ -9,22 +9,23 @@
 
 use crate::row_value;
 
-/// What the keys of these rows begin with; no host's name has a slash.
+/// Prefix of these rows' keys. Names of hosts contain no slash, so they cannot have
+/// it.
 const KEY_PREFIX: &str = "rollout/";
 
-/// A roll-out as its row says it.
+/// Content of a roll-out's row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutRow {
-    /// The note.
+    /// Record of the roll-out.
     pub record: RolloutRecord,
-    /// The store's clock at the order.
+    /// Time of the order on the store's clock.
     pub ordered_at: Duration,
-    /// What a verdict rested on, in words.
+    /// Text that describes the evidence for the verdict.
     pub evidence: String,
 }
 
 impl RolloutRow {
-    /// The row of `row`; `None` when it is another, or cannot be read.
+    /// Decodes `row`; `None` if it is not a roll-out's row or is malformed.
     #[must_use]
     pub fn read(row: &StoreRow) -> Option<RolloutRow> {
         let service = row.key.strip_prefix(KEY_PREFIX)?;
@@ -38,20 +39,20 @@
         }
     }
 
-    /// Its value.
+    /// Encodes the content as the value of a row.
     #[must_use]
     pub fn value(&self) -> Vec<u8> {
         row_value::encode(self)
     }
 }
 
-/// The key of the row of `service`.
+/// Returns the key of the row for the roll-out of `service`.
 #[must_use]
-pub fn key_of(service: &str) -> String {
+pub fn rollout_row_key(service: &str) -> String {
     format!("{KEY_PREFIX}{service}")
 }
 
-/// Whether a row with `key` is of a roll-out, not of a host.
+/// Whether a row with `key` belongs to a roll-out, not to a host.
 #[must_use]
 pub fn is_rollout_key(key: &str) -> bool {
     key.starts_with(KEY_PREFIX)
--- a/crates/mesh/src/rollouts/row_writer.rs
+++ b/crates/mesh/src/rollouts/row_writer.rs
@@ -1,9 +1,8 @@
-//! Agrees on roll-outs in the store: that one was begun, how far it is, and how
-//! it ended.
+//! Writes roll-outs to the store: their start, their progress and their end.
 //!
-//! Each is written under the condition that the row is as this daemon knows
-//! it, together with what the operator reads. Of two daemons that decide one is
-//! turned away, and takes over what stands there.
+//! Each write is conditional on the row's version that this daemon knows, and also
+//! sets the status that the operator reads. If two deciding daemons write at once,
+//! one of the writes fails, and its daemon applies the row that the other wrote.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,17 +13,17 @@
 use filbert_policy::store_access::backoff_delay;
 use rand::Rng;
 
-use super::row::{key_of, RolloutRow};
+use super::row::{rollout_row_key, RolloutRow};
 use super::RolloutEntry;
 use crate::rows::HOSTS_TABLE;
 use crate::state::MeshShared;
 
-/// How often rows are looked at though nobody asked for it: a daemon may have
-/// come to ask the store for the fleet meanwhile.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+/// Interval at which entries are checked without a wake-up, as this daemon may have
+/// started to query the store for the fleet since.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 impl MeshShared {
-    /// Takes a row of the operator's table.
+    /// Applies a row of the operator's table, if it is the order of a roll-out.
     pub fn apply_rollout_order(&self, row: &StoreRow) {
         let Some(order) = rollouts::decode_order(row) else {
             return;
@@ -34,28 +33,28 @@
             version: row.version,
         };
         let record = RolloutRecord::ordered(&order.service, &order.to, order.allowed, id);
-        self.rollouts.take_order(record);
+        self.rollouts.apply_order(record);
     }
 
-    /// Takes a row of the table of hosts that is a roll-out's.
+    /// Applies a row of the table of hosts that belongs to a roll-out.
     pub fn apply_rollout_row(&self, row: &StoreRow) {
         let Some(stored) = RolloutRow::read(row) else {
             return;
         };
         let now = self.store.clock_at(self.clock.now());
         let elapsed = now.unwrap_or_default().saturating_sub(stored.ordered_at);
-        self.rollouts.take_row(&stored, row.version, elapsed);
+        self.rollouts.apply_row(&stored, row.version, elapsed);
     }
 }
 
-/// Writes what is to be agreed, while this daemon asks the store for the fleet.
-/// Runs for ever.
+/// Writes changed records to the store while this daemon queries the store for the
+/// fleet. Retries failed writes with a backoff. Never returns.
 pub async fn run_rollout_writer(shared: Rc<MeshShared>) {
     let mut failures = 0;
-    shared.rollouts.until_used().await;
+    shared.rollouts.wait_until_any().await;
     loop {
         let unwritten = shared.rollouts.has_unwritten.notified();
-        let _ = tokio::time::timeout(LOOK_EVERY, unwritten).await;
+        let _ = tokio::time::timeout(CHECK_INTERVAL, unwritten).await;
         if !shared.members.is_source() {
             continue;
         }
@@ -67,48 +66,49 @@
             let Some((entry, record)) = due else {
                 continue;
             };
-            if write(&shared, &entry, record).await {
+            if write_row(&shared, &entry, record).await {
                 failures = 0;
                 continue;
             }
             failures += 1;
-            let spread = rand::rng().random();
-            tokio::time::sleep(backoff_delay(failures, shared.store_access(), spread)).await;
+            let jitter = rand::rng().random();
+            tokio::time::sleep(backoff_delay(failures, shared.store_access(), jitter)).await;
             shared.rollouts.has_unwritten.notify_one();
         }
     }
 }
 
-/// What is to be written of a roll-out, if anything is.
+/// Returns the record to write for a roll-out; `None` if its row is up to date.
 fn record_to_write(shared: &MeshShared, entry: &RolloutEntry) -> Option<RolloutRecord> {
     let record = &entry.record;
     if record.stage.is_final() {
-        let is_due = !record.is_written || !entry.is_recorded;
+        let is_due = !record.is_written || !entry.is_order_stored;
         let written = RolloutRecord {
             is_written: true,
             ..record.clone()
         };
         return is_due.then_some(written);
     }
-    if !entry.is_recorded {
+    if !entry.is_order_stored {
         return Some(record.clone());
     }
     let host = shared.settings.borrow().id.clone();
-    let Some(reason) = entry.completes else {
-        // Operators see how far it is; whoever decided so writes it.
-        let is_news = record.step > entry.recorded_step && record.decided_by == host;
-        return is_news.then(|| record.clone());
+    let Some(reason) = entry.completion_reason else {
+        // Progress is written for operators, by the daemon that decided on the stage.
+        let is_unstored_step = record.step > entry.stored_step && record.decided_by == host;
+        return is_unstored_step.then(|| record.clone());
     };
     let mut completed = record.next(RolloutStage::Completed, reason, &host);
     completed.is_written = true;
     Some(completed)
 }
 
-/// Writes `record`; false when the store did not say what became of it.
-async fn write(shared: &MeshShared, entry: &RolloutEntry, record: RolloutRecord) -> bool {
+/// Writes `record` to the store. Returns false if the outcome is unknown or no
+/// longer applies, so that the write has to be tried again.
+async fn write_row(shared: &MeshShared, entry: &RolloutEntry, record: RolloutRecord) -> bool {
     let era = shared.store.era();
     let now = shared.clock.now();
-    let elapsed = now.saturating_duration_since(entry.ordered);
+    let elapsed = now.saturating_duration_since(entry.ordered_at);
     let store_now = shared.store.clock_at(now).unwrap_or_default();
     let stored = RolloutRow {
         record,
@@ -116,11 +116,11 @@
         evidence: entry.evidence.clone(),
     };
     let service = entry.record.service.as_str();
-    let (key, status_key) = (key_of(service), rollouts::status_key(service));
+    let (key, status_key) = (rollout_row_key(service), rollouts::status_key(service));
     let conditions = [RowCondition {
         table: HOSTS_TABLE,
         key: &key,
-        version: entry.row_at,
+        version: entry.row_version,
     }];
     let edits = [
         RowEdit {
@@ -132,17 +132,18 @@
             table: rollouts::STATUS_TABLE,
             key: &status_key,
             value: Some(rollouts::status_value(
-                state_of(stored.record.stage),
+                status_state(stored.record.stage),
                 &stored.record.to,
             )),
         },
     ];
-    let end = shared.store.edit_rows_if(&conditions, &edits).await;
+    let outcome = shared.store.edit_rows_if(&conditions, &edits).await;
     if shared.store.era() != era {
-        // What the write rested on is another store's: it is read anew.
+        // The store was restored meanwhile, so the condition referred to a row of
+        // the former era. The rows are read again.
         return false;
     }
-    match end {
+    match outcome {
         Ok(TransactionOutcome::Committed { version }) => {
             shared.metrics.store_call("rollout", "answered");
             log::info!(
@@ -151,19 +152,19 @@
                 stored.record.stage,
                 stored.evidence
             );
-            shared.rollouts.take_row(&stored, version, elapsed);
+            shared.rollouts.apply_row(&stored, version, elapsed);
             true
         }
         Ok(TransactionOutcome::Conflict(rows)) => {
             shared.metrics.store_call("rollout", "changed");
             log::info!(
                 "event=rollout_row_changed service={service} expected={} found={:?}",
-                entry.row_at,
+                entry.row_version,
                 rows.iter().map(|row| row.version).collect::<Vec<_>>()
             );
             match rows.iter().find(|row| row.key == key) {
                 Some(row) if row.value.is_some() => shared.apply_rollout_row(row),
-                _ => shared.rollouts.row_is_missing(service),
+                _ => shared.rollouts.mark_row_missing(service),
             }
             true
         }
@@ -179,7 +180,7 @@
     }
 }
 
-fn state_of(stage: RolloutStage) -> RolloutState {
+fn status_state(stage: RolloutStage) -> RolloutState {
     match stage {
         RolloutStage::Trial { .. } | RolloutStage::Moved => RolloutState::Running,
         RolloutStage::RolledBack => RolloutState::RolledBack,
