--- a/crates/mesh/src/organisations/counts.rs
+++ b/crates/mesh/src/organisations/counts.rs
@@ -1,45 +1,46 @@
-//! What became of organisations' calls, for the metrics.
+//! Counts the calls of each organisation that were allowed or over quota, for the
+//! metrics.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
 use std::collections::HashMap;
 use std::fmt::Write;
 
-/// Organisations that the metrics name: the busiest, so that their number does not
-/// grow with the organisations.
-const MOST_NAMED: usize = 32;
+/// Maximum number of organisations in the metrics, where only the busiest appear: the
+/// number of time series must not grow with the number of organisations.
+const MAX_REPORTED_ORGANISATIONS: usize = 32;
 
-/// What became of one organisation's calls at this daemon.
+/// Counters of one organisation's calls at this daemon.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct CallCounts {
+struct AdmissionCounts {
     allowed: u64,
     over_quota: u64,
 }
 
-impl CallCounts {
+impl AdmissionCounts {
     fn total(self) -> u64 {
         self.allowed + self.over_quota
     }
 }
 
-/// What became of each organisation's calls at this daemon.
+/// Counters of all organisations' calls at this daemon.
 #[derive(Debug, Default)]
 pub struct OrganisationCounts {
-    calls: RefCell<HashMap<String, CallCounts>>,
+    calls: RefCell<HashMap<String, AdmissionCounts>>,
 }
 
 impl OrganisationCounts {
-    /// Counts a call that may run.
+    /// Counts a call that is allowed to run.
     pub fn allowed(&self, organisation: &str) {
         self.count(organisation, |counts| counts.allowed += 1);
     }
 
-    /// Counts a call beyond the organisation's limit.
+    /// Counts a call over the organisation's rate limit.
     pub fn over_quota(&self, organisation: &str) {
         self.count(organisation, |counts| counts.over_quota += 1);
     }
 
-    fn count(&self, organisation: &str, add: impl FnOnce(&mut CallCounts)) {
+    fn count(&self, organisation: &str, add: impl FnOnce(&mut AdmissionCounts)) {
         let mut calls = self.calls.borrow_mut();
         match calls.get_mut(organisation) {
             Some(counts) => add(counts),
@@ -47,26 +48,26 @@
         }
     }
 
-    /// Forgets organisations that there are no more.
-    pub fn keep(&self, is_there: impl Fn(&str) -> bool) {
-        self.calls.borrow_mut().retain(|name, _| is_there(name));
+    /// Drops the counters of organisations for which `exists` is false.
+    pub fn keep(&self, exists: impl Fn(&str) -> bool) {
+        self.calls.borrow_mut().retain(|name, _| exists(name));
     }
 
-    /// The busiest organisations in the text format of the metrics.
+    /// Returns the counters of the busiest organisations in the Prometheus text format.
     #[must_use]
     pub fn text(&self) -> String {
         let calls = self.calls.borrow();
-        let mut busiest: Vec<(&String, CallCounts)> =
+        let mut busiest: Vec<(&String, AdmissionCounts)> =
             calls.iter().map(|(name, counts)| (name, *counts)).collect();
         busiest.sort_unstable_by_key(|(name, counts)| (Reverse(counts.total()), *name));
         let mut text = String::new();
-        for (name, counts) in busiest.into_iter().take(MOST_NAMED) {
-            let name = escaped(name);
+        for (name, counts) in busiest.into_iter().take(MAX_REPORTED_ORGANISATIONS) {
+            let name = escape_label_value(name);
             for (verdict, calls) in [
                 ("allowed", counts.allowed),
                 ("over_quota", counts.over_quota),
             ] {
-                // Writing to a text does not fail.
+                // Writing to a `String` does not fail.
                 let _ = writeln!(
                     text,
                     "filbert_organisation_calls{{organisation=\"{name}\",verdict=\"{verdict}\"}} {calls}"
@@ -77,7 +78,7 @@
     }
 }
 
-fn escaped(name: &str) -> String {
+fn escape_label_value(name: &str) -> String {
     name.replace('\\', "\\\\")
         .replace('"', "\\\"")
         .replace('\n', "\\n")
--- a/crates/mesh/src/organisations/freshness.rs
+++ b/crates/mesh/src/organisations/freshness.rs
@@ -1,5 +1,5 @@
-//! How old the version in force is: heard from the store or from the daemons that
-//! tell this one, and told further.
+//! Keeps track of how old the version in force is. Confirmations of the newest
+//! version come from the store or from upstreams, and are forwarded to followers.
 
 use std::time::Duration;
 
@@ -29,61 +29,67 @@
 }
 
 impl MeshShared {
-    /// Whether the age of the version matters: keys are withdrawn by newer ones.
-    fn keeps_age(&self) -> bool {
+    /// Whether the age of the version in force matters: only if there are
+    /// organisations, whose keys a newer version may withdraw.
+    fn tracks_freshness(&self) -> bool {
         !self.current_index().organisations().is_empty()
     }
 
-    /// Takes word of the store that the version in force is its newest, and tells
-    /// those that follow this daemon.
+    /// Records that the version in force was the newest in the store at
+    /// `snapshot_time`, and forwards this to the followers of this daemon.
     pub fn record_store_confirmation(&self, snapshot_time: SnapshotTime) {
-        if !self.keeps_age() {
+        if !self.tracks_freshness() {
             return;
         }
         let SnapshotTime { era, clock, asked } = snapshot_time;
         let version = self.versions.number();
         {
-            let mut age = self.organisations.age.borrow_mut();
-            age.record_clock_sample(era, clock, asked);
+            let mut freshness = self.organisations.freshness.borrow_mut();
+            freshness.record_clock_sample(era, clock, asked);
             let at = clock;
-            age.confirm(Confirmation { era, version, at }, version);
+            freshness.confirm(Confirmation { era, version, at }, version);
         }
-        self.tell_age();
+        self.forward_confirmation();
     }
 
-    /// Takes word of `upstream` on the age of the newest version.
-    pub fn record_upstream_confirmation(&self, told: VersionAge, upstream: &Peer) {
+    /// Records a confirmation of the newest version from the daemon `upstream`, and
+    /// forwards it if it is newer than the last one. Ignores daemons that are not
+    /// upstreams.
+    pub fn record_upstream_confirmation(&self, received: VersionAge, upstream: &Peer) {
         if !self.is_upstream(&upstream.address.id) {
             return;
         }
-        let desk = &self.organisations;
-        let before = desk.age.borrow().newest_confirmation();
+        let organisations = &self.organisations;
+        let before = organisations.freshness.borrow().newest_confirmation();
         let version = self.versions.number();
-        desk.age.borrow_mut().confirm(told.confirmation(), version);
+        organisations
+            .freshness
+            .borrow_mut()
+            .confirm(received.confirmation(), version);
         let now = self.clock.since_boot();
-        if desk.age.borrow().needs_clock_sample(now) {
+        if organisations.freshness.borrow().needs_clock_sample(now) {
             upstream.ask_clock(now);
         }
-        let is_news = desk.age.borrow().newest_confirmation() != before;
-        if is_news && !self.members.is_source() {
-            self.tell_age();
+        let is_newer = organisations.freshness.borrow().newest_confirmation() != before;
+        if is_newer && !self.members.is_source() {
+            self.forward_confirmation();
         }
     }
 
-    /// Takes word on the store's clock: it showed `latest` at most, by the answer to
-    /// a question asked at `asked`, since the own host's start.
-    pub fn record_store_clock(&self, era: u64, latest: Duration, asked: Duration) {
-        let mut age = self.organisations.age.borrow_mut();
-        age.record_clock_sample(era, latest, asked);
-        age.update_for_version(self.versions.number());
+    /// Records a sample of the store's clock: it was requested at `requested_at`, since
+    /// this host's start, and showed at most `latest` at that time.
+    pub fn record_store_clock(&self, era: u64, latest: Duration, requested_at: Duration) {
+        let mut freshness = self.organisations.freshness.borrow_mut();
+        freshness.record_clock_sample(era, latest, requested_at);
+        freshness.update_for_version(self.versions.number());
     }
 
-    /// What the store's clock shows, for a daemon that asked at `asked_us` of its own
-    /// time; `None` when it is not known here either.
+    /// Returns the response to a daemon that requested the store's clock at `asked_us`
+    /// of its own time; `None` if this daemon does not know the store's clock.
     #[must_use]
     pub fn store_clock(&self, asked_us: u64) -> Option<LinkMessage> {
-        let age = self.organisations.age.borrow();
-        let (era, latest) = age.store_clock(self.clock.since_boot())?;
+        let freshness = self.organisations.freshness.borrow();
+        let (era, latest) = freshness.store_clock(self.clock.since_boot())?;
         Some(LinkMessage::StoreClock {
             era,
             latest_us: micros(latest),
@@ -91,16 +97,21 @@
         })
     }
 
-    /// What this daemon knows of the age of the newest version.
+    /// Returns the message with the newest confirmation; `None` before the first.
     #[must_use]
     pub fn version_confirmation(&self) -> Option<LinkMessage> {
-        let newest_confirmation = self.organisations.age.borrow().newest_confirmation()?;
+        let newest_confirmation = self
+            .organisations
+            .freshness
+            .borrow()
+            .newest_confirmation()?;
         Some(LinkMessage::VersionAge(VersionAge::of(newest_confirmation)))
     }
 
-    fn tell_age(&self) {
-        if let (Some(age), true) = (self.version_confirmation(), self.members.is_reader()) {
-            self.tell_followers(&age);
+    fn forward_confirmation(&self) {
+        if let (Some(confirmation), true) = (self.version_confirmation(), self.members.is_reader())
+        {
+            self.tell_followers(&confirmation);
         }
     }
 }
--- a/crates/mesh/src/organisations/mod.rs
+++ b/crates/mesh/src/organisations/mod.rs
@@ -1,6 +1,6 @@
-//! Organisations at the daemon: whose a call is by its key, how old the knowledge
-//! behind that is ([`freshness`]), and whether the organisation may run one more
-//! ([`tokens`]).
+//! Organisations at one daemon: which organisation holds the key of a call, how
+//! recent the version of the configuration is that says so ([`freshness`]), and
+//! whether the organisation may run another call ([`tokens`]).
 
 pub mod counts;
 pub mod freshness;
@@ -23,93 +23,95 @@
 use crate::settings::MeshSettings;
 use counts::OrganisationCounts;
 
-/// Age of a daemon's knowledge up to which a key that it does not know counts as
-/// unknown. A source hears of the store every two seconds at least.
-const KNOWN_WITHIN: Duration = Duration::from_millis(3_500);
+/// Age of the version in force below which a key that it does not contain is
+/// rejected as unknown; a key may have been added since an older version. Sources
+/// get a confirmation from the store at least every two seconds.
+const MAX_AGE_FOR_UNKNOWN_KEY: Duration = Duration::from_millis(3_500);
 
-/// What is known of organisations beyond the version in force.
+/// State of the organisations at this daemon, besides the version in force.
 pub struct OrganisationState {
     clock: Rc<dyn Clock>,
-    /// How soon a withdrawn key is refused everywhere, where that is bounded.
-    withdrawn_within: Cell<Option<Duration>>,
-    age: RefCell<VersionFreshness>,
-    /// Whether keys were refused when last looked at, as the age was too high.
+    /// Time within which a withdrawn key must be refused on all hosts, and so the age
+    /// from which the version in force is too old to accept keys; `None` if unbounded.
+    max_version_age: Cell<Option<Duration>>,
+    freshness: RefCell<VersionFreshness>,
+    /// Whether the version in force was too old at the last check of a key.
     is_stale: Cell<bool>,
     pool: RefCell<TokenPool>,
-    /// The pools to which this host brings its part.
+    /// Leases at the pools that count this host's share of the tokens.
     leases: RefCell<PoolLeases>,
-    /// Hosts of the own availability zone, this one included.
+    /// Number of hosts in this host's availability zone, including this one.
     zone_hosts: Cell<usize>,
-    /// Availability zones that hosts are known in.
-    zones: Cell<usize>,
-    /// Whether any organisation has a limit.
+    /// Number of availability zones with known hosts.
+    zone_count: Cell<usize>,
+    /// Whether any organisation has a rate limit.
     has_limits: Cell<bool>,
-    /// Wakes whoever waits for that.
-    limits_came: Notify,
+    /// Wakes the task that waits until an organisation has a rate limit.
+    limits_added: Notify,
     token_caches: RefCell<HashMap<String, TokenCacheEntry>>,
-    /// Questions to other daemons' pools that wait for their answers.
-    asked: RefCell<HashMap<u64, oneshot::Sender<TokenGrant>>>,
-    next_ask: Cell<u64>,
-    /// What became of organisations' calls.
+    /// Requests to pools of other daemons that await a response, by request id.
+    pending_requests: RefCell<HashMap<u64, oneshot::Sender<TokenGrant>>>,
+    next_request_id: Cell<u64>,
+    /// Counters of calls by organisation.
     pub counts: OrganisationCounts,
 }
 
-/// An organisation's tokens at this daemon.
+/// Tokens of one organisation at this daemon.
 #[derive(Default)]
 struct TokenCacheEntry {
     token_cache: TokenCache,
-    /// Calls that wait for one.
+    /// Number of calls that wait for a token.
     waiting: u32,
-    /// Whether some are being asked for.
-    is_asking: bool,
-    /// Wakes the calls that wait.
+    /// Whether a request for tokens is in progress.
+    is_requesting: bool,
+    /// Wakes the waiting calls after a request.
     changed: Rc<Notify>,
 }
 
-/// Whose a call is.
+/// The holder of a call's key, as far as this daemon can tell.
 #[derive(Clone, Debug, PartialEq)]
 pub enum KeyHolder {
-    /// Nobody's, and it needs no key.
+    /// No organisation holds the key, and the call needs none.
     Anonymous,
-    /// This organisation's.
+    /// This organisation holds the key.
     Organisation(Arc<OrganisationRule>),
-    /// It needs a key, and no organisation holds its own.
+    /// The call needs a key, and has none or one that no organisation holds.
     Unknown,
-    /// What is known of its key may be out of date.
+    /// The version in force may be too old to accept or reject the key.
     Stale,
 }
 
 impl OrganisationState {
-    /// A desk that knows nothing yet.
+    /// Creates the state from `settings`, without any organisations.
     #[must_use]
     pub fn new(settings: &MeshSettings, clock: Rc<dyn Clock>) -> Rc<OrganisationState> {
-        let desk = OrganisationState {
+        let state = OrganisationState {
             clock,
-            withdrawn_within: Cell::new(None),
-            age: RefCell::default(),
+            max_version_age: Cell::new(None),
+            freshness: RefCell::default(),
             is_stale: Cell::new(false),
             pool: RefCell::new(TokenPool::new(settings.quota_policy())),
             leases: RefCell::default(),
             zone_hosts: Cell::new(1),
-            zones: Cell::new(1),
+            zone_count: Cell::new(1),
             has_limits: Cell::new(false),
-            limits_came: Notify::new(),
+            limits_added: Notify::new(),
             token_caches: RefCell::default(),
-            asked: RefCell::default(),
-            next_ask: Cell::new(0),
+            pending_requests: RefCell::default(),
+            next_request_id: Cell::new(0),
             counts: OrganisationCounts::default(),
         };
-        desk.set_terms(settings);
-        Rc::new(desk)
+        state.set_terms(settings);
+        Rc::new(state)
     }
 
-    /// Takes over changed settings.
+    /// Applies changed settings.
     pub fn set_terms(&self, settings: &MeshSettings) {
-        let within = settings.withdrawal.map(|terms| terms.within);
-        self.withdrawn_within.set(within);
+        let within = settings.withdrawal.map(|withdrawal| withdrawal.within);
+        self.max_version_age.set(within);
     }
 
-    /// Whose a call on `route` with `key` is.
+    /// Returns the holder of a call on `route` with `key`.
     #[must_use]
     pub fn holder(&self, index: &RouteIndex, route: &RouteRule, key: Option<&str>) -> KeyHolder {
         let organisations = index.organisations();
@@ -125,19 +127,19 @@
         if key.is_none() {
             return KeyHolder::Unknown;
         }
-        let age = self.age.borrow().age(self.clock.since_boot());
+        let age = self.freshness.borrow().age(self.clock.since_boot());
         let is_within = |bound: Duration| age.is_some_and(|age| age < bound);
-        let is_stale = !self.withdrawn_within.get().is_none_or(is_within);
-        self.note_stale(is_stale, age, index.number());
+        let is_stale = !self.max_version_age.get().is_none_or(is_within);
+        self.log_staleness_change(is_stale, age, index.number());
         match holder {
             _ if is_stale => KeyHolder::Stale,
             Some(holder) => KeyHolder::Organisation(Arc::clone(holder)),
-            None if is_within(KNOWN_WITHIN) => KeyHolder::Unknown,
+            None if is_within(MAX_AGE_FOR_UNKNOWN_KEY) => KeyHolder::Unknown,
             None => KeyHolder::Stale,
         }
     }
 
-    fn note_stale(&self, is_stale: bool, age: Option<Duration>, version: u64) {
+    fn log_staleness_change(&self, is_stale: bool, age: Option<Duration>, version: u64) {
         if self.is_stale.replace(is_stale) == is_stale {
             return;
         }
@@ -150,14 +152,17 @@
         log::info!("event={event} version={version:08x} age_ms={age_ms}");
     }
 
-    /// Takes note of the version in force.
+    /// Applies the version that is now in force: updates its age, and drops state of
+    /// organisations that are not in it.
     pub fn apply_version(&self, index: &RouteIndex) {
-        self.age.borrow_mut().update_for_version(index.number());
+        self.freshness
+            .borrow_mut()
+            .update_for_version(index.number());
         let limited = index.organisations().limited();
         let names: Vec<&str> = limited.map(|rule| rule.name.as_str()).collect();
         self.has_limits.set(!names.is_empty());
         if self.has_limits.get() {
-            self.limits_came.notify_one();
+            self.limits_added.notify_one();
         }
         let now = self.clock.now();
         self.pool.borrow_mut().keep(names.iter().copied(), now);
@@ -166,14 +171,14 @@
         token_caches.retain(|name, entry| entry.waiting > 0 || index.organisations().has(name));
     }
 
-    /// Takes note of how many hosts there are in the own availability zone, and in
-    /// how many `zones` there are any.
-    pub fn set_host_counts(&self, hosts: usize, zones: usize) {
+    /// Sets the number of hosts in this host's availability zone and the number of
+    /// zones with known hosts.
+    pub fn set_host_counts(&self, hosts: usize, zone_count: usize) {
         self.zone_hosts.set(hosts);
-        self.zones.set(zones);
+        self.zone_count.set(zone_count);
     }
 
-    /// Takes note that this daemon grants tokens to others from now on.
+    /// Empties the token pool, as this daemon starts to grant tokens to others.
     pub fn begin_granting(&self) {
         self.pool.borrow_mut().clear_buckets(self.clock.now());
     }
--- a/crates/mesh/src/organisations/tokens.rs
+++ b/crates/mesh/src/organisations/tokens.rs
@@ -1,5 +1,8 @@
-//! The right to run calls of an organisation: asked of the pools of the
-//! availability zone's readers, to which every daemon there is linked.
+//! Requests tokens for the calls of rate-limited organisations from token pools, and
+//! grants tokens from this daemon's own pool.
+//!
+//! The pools are on the readers of the availability zone, to which all daemons of
+//! the zone are linked.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -15,115 +18,117 @@
 use crate::peers::Peer;
 use crate::state::MeshShared;
 
-/// Time in which a pool answers; a daemon that does not is passed over.
-const ANSWER_WITHIN: Duration = Duration::from_millis(80);
-/// Time that a call waits for a token at most.
-const TOKEN_WITHIN: Duration = Duration::from_millis(250);
-/// Time until a pool is asked again that could not be reached, or grants nothing
-/// at all.
-const NO_POOL: Duration = Duration::from_millis(150);
+/// Time after which a pool that has not responded is skipped.
+const POOL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(80);
+/// Maximum time for which a call waits for a token.
+const TOKEN_WAIT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time after which tokens are requested again if no pool could be reached, or the
+/// pool's daemon is no reader or knows no limit. Also returned to a call whose wait
+/// for a token timed out.
+const POOL_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// What a daemon without a pool grants.
-const NOTHING: TokenGrant = TokenGrant {
+/// Grant of a daemon that has no pool, or knows no limit of the organisation.
+const EMPTY_GRANT: TokenGrant = TokenGrant {
     tokens: 0,
-    next_token_in: NO_POOL,
+    next_token_in: POOL_RETRY_DELAY,
 };
-/// Pools that a host asks: those of the two readers that a zone has.
-const POOLS: usize = 2;
-/// How often it is looked at whether a pool is to be told.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Number of pools that a host uses: those of the two readers of its zone.
+const POOLS_PER_HOST: usize = 2;
+/// Interval at which the host checks whether a lease has to be renewed.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Brings this host's part of the tokens to the pools that it asks, as long as
-/// there are limits. Runs for ever.
+/// Keeps this host's leases at its pools while any organisation has a rate limit, so
+/// that the pools generate the host's share of the tokens. Never returns.
 pub async fn maintain_pool_leases(shared: Rc<MeshShared>) {
-    let desk = &shared.organisations;
+    let organisations = &shared.organisations;
     loop {
-        if !desk.has_limits.get() {
-            desk.limits_came.notified().await;
+        if !organisations.has_limits.get() {
+            organisations.limits_added.notified().await;
         }
-        shared.renew_pools();
-        tokio::time::sleep(LOOK_EVERY).await;
+        shared.renew_pool_leases();
+        tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
     }
 }
 
-/// The right to run one call.
+/// A token taken for one call.
 pub struct CallToken {
-    /// The organisation that it is counted for.
+    /// Name of the organisation whose token this is.
     organisation: String,
-    desk: Rc<OrganisationState>,
+    organisations: Rc<OrganisationState>,
 }
 
 impl CallToken {
-    /// Gives the right back: the call did not run.
+    /// Returns the token to the cache, as the call did not run.
     pub fn refund(self) {
-        let now = self.desk.clock.now();
-        let mut token_caches = self.desk.token_caches.borrow_mut();
+        let now = self.organisations.clock.now();
+        let mut token_caches = self.organisations.token_caches.borrow_mut();
         if let Some(entry) = token_caches.get_mut(&self.organisation) {
             entry.token_cache.refund(now);
         }
     }
 }
 
-/// A call that waits for a token; counted until it is dropped.
+/// Counts a call as waiting for a token until it is dropped.
 struct WaitingCall {
     organisation: String,
-    desk: Rc<OrganisationState>,
+    organisations: Rc<OrganisationState>,
 }
 
 impl WaitingCall {
     fn new(
-        desk: &Rc<OrganisationState>,
+        organisations: &Rc<OrganisationState>,
         organisation: &str,
         entry: &mut TokenCacheEntry,
     ) -> WaitingCall {
         entry.waiting += 1;
         WaitingCall {
             organisation: organisation.to_owned(),
-            desk: Rc::clone(desk),
+            organisations: Rc::clone(organisations),
         }
     }
 }
 
 impl Drop for WaitingCall {
     fn drop(&mut self) {
-        let mut token_caches = self.desk.token_caches.borrow_mut();
+        let mut token_caches = self.organisations.token_caches.borrow_mut();
         if let Some(entry) = token_caches.get_mut(&self.organisation) {
             entry.waiting -= 1;
         }
     }
 }
 
-/// A pool that this daemon may ask.
-enum PoolPlace {
-    Here,
-    Peer(Rc<Peer>),
+/// Location of a pool from which this daemon may request tokens.
+enum PoolLocation {
+    Local,
+    Remote(Rc<Peer>),
 }
 
-impl PoolPlace {
-    /// The host that it is on, where `own` is this one.
+impl PoolLocation {
+    /// Returns the name of the pool's host; `own` is the name of this host.
     fn host<'a>(&'a self, own: &'a str) -> &'a str {
         match self {
-            PoolPlace::Here => own,
-            PoolPlace::Peer(peer) => &peer.address.id,
+            PoolLocation::Local => own,
+            PoolLocation::Remote(peer) => &peer.address.id,
         }
     }
 }
 
 impl MeshShared {
-    /// Waits for the right to run a call of `organisation` until `limit` at most.
+    /// Takes a token for a call of `organisation`, and waits for one until `deadline`
+    /// at most. Returns `None` if the organisation has no rate limit.
     ///
     /// # Errors
-    /// The time after which there may be one again.
+    /// The time after which a token may be available, if there is none.
     pub async fn take_token(
         self: &Rc<Self>,
         organisation: &OrganisationRule,
-        limit: Instant,
+        deadline: Instant,
     ) -> Result<Option<CallToken>, Duration> {
         if organisation.limit.is_none() {
             return Ok(None);
         }
         let name = organisation.name.as_str();
-        let until = limit.min(self.clock.now() + TOKEN_WITHIN);
+        let wait_until = deadline.min(self.clock.now() + TOKEN_WAIT_TIMEOUT);
         loop {
             let now = self.clock.now();
             let (changed, waiting) = {
@@ -131,154 +136,164 @@
                 let entry = token_caches.entry(name.to_owned()).or_default();
                 match entry.token_cache.take(now) {
                     TakeOutcome::Taken => {
-                        let asks = entry.token_cache.needs_refill(now) && !entry.is_asking;
-                        entry.is_asking |= asks;
+                        let starts_request =
+                            entry.token_cache.needs_refill(now) && !entry.is_requesting;
+                        entry.is_requesting |= starts_request;
                         drop(token_caches);
-                        if asks {
-                            self.ask_in_background(organisation);
+                        if starts_request {
+                            self.request_in_background(organisation);
                         }
-                        return Ok(Some(self.hold(name)));
+                        return Ok(Some(self.call_token(name)));
                     }
                     TakeOutcome::Exhausted(left) => return Err(left),
                     TakeOutcome::RequestMore => {}
                 }
                 let waiting = WaitingCall::new(&self.organisations, name, entry);
-                let asks = !std::mem::replace(&mut entry.is_asking, true);
+                let starts_request = !std::mem::replace(&mut entry.is_requesting, true);
                 let changed = Rc::clone(&entry.changed);
                 drop(token_caches);
-                if asks {
-                    self.ask_in_background(organisation);
+                if starts_request {
+                    self.request_in_background(organisation);
                 }
                 (changed, waiting)
             };
-            let waited = tokio::time::timeout_at(until.into(), changed.notified()).await;
+            let waited = tokio::time::timeout_at(wait_until.into(), changed.notified()).await;
             drop(waiting);
             if waited.is_err() {
-                return Err(NO_POOL);
+                return Err(POOL_RETRY_DELAY);
             }
         }
     }
 
-    fn hold(&self, organisation: &str) -> CallToken {
+    fn call_token(&self, organisation: &str) -> CallToken {
         CallToken {
             organisation: organisation.to_owned(),
-            desk: Rc::clone(&self.organisations),
+            organisations: Rc::clone(&self.organisations),
         }
     }
 
-    fn ask_in_background(self: &Rc<Self>, organisation: &OrganisationRule) {
+    fn request_in_background(self: &Rc<Self>, organisation: &OrganisationRule) {
         let shared = Rc::clone(self);
         let name = organisation.name.clone();
         tokio::task::spawn_local(async move {
-            // Those that follow within the same moment are asked for together.
+            // Calls that arrive before the next poll of this task share the request.
             tokio::task::yield_now().await;
-            let grant = shared.ask_pools(&name).await;
+            let grant = shared.request_tokens(&name).await;
             let now = shared.clock.now();
             let mut token_caches = shared.organisations.token_caches.borrow_mut();
             if let Some(entry) = token_caches.get_mut(&name) {
-                entry.is_asking = false;
+                entry.is_requesting = false;
                 entry.token_cache.granted(grant, now);
                 entry.changed.notify_waiters();
             }
         });
     }
 
-    /// Asks one pool after the other until one has tokens for `organisation`.
-    async fn ask_pools(&self, organisation: &str) -> TokenGrant {
+    /// Requests tokens for `organisation` from one pool after the other, until one
+    /// grants some. Otherwise returns the shortest time until the next token.
+    async fn request_tokens(&self, organisation: &str) -> TokenGrant {
         let mut next_token_in: Option<Duration> = None;
-        for place in self.pools_for(organisation) {
+        for pool in self.pools_in_request_order(organisation) {
             let wanted = self.organisations.wanted(organisation);
-            let grant = match place {
-                PoolPlace::Here => Some(self.grant_tokens(organisation, wanted)),
-                PoolPlace::Peer(peer) => self.ask_peer(&peer, organisation, wanted).await,
+            let grant = match pool {
+                PoolLocation::Local => Some(self.grant_tokens(organisation, wanted)),
+                PoolLocation::Remote(peer) => {
+                    self.request_from_peer(&peer, organisation, wanted).await
+                }
             };
             match grant {
                 Some(grant) if grant.tokens > 0 => return grant,
                 Some(grant) => {
-                    next_token_in = Some(
-                        next_token_in
-                            .map_or(grant.next_token_in, |least| least.min(grant.next_token_in)),
-                    );
+                    next_token_in = Some(next_token_in.map_or(grant.next_token_in, |earliest| {
+                        earliest.min(grant.next_token_in)
+                    }));
                 }
                 None => {}
             }
         }
         TokenGrant {
             tokens: 0,
-            next_token_in: next_token_in.unwrap_or(NO_POOL),
+            next_token_in: next_token_in.unwrap_or(POOL_RETRY_DELAY),
         }
     }
 
-    /// The pools to ask for `organisation`, in turn. Daemons agree on the order, so
-    /// that few tokens are not spread over many pools.
-    fn pools_for(&self, organisation: &str) -> Vec<PoolPlace> {
+    /// Returns the pools for `organisation` in the order of requests. The order is the
+    /// same on all daemons, so that an organisation's few tokens are requested from
+    /// one pool first and do not remain in several.
+    fn pools_in_request_order(&self, organisation: &str) -> Vec<PoolLocation> {
         let own = self.settings.borrow().id.clone();
-        let rank = |place: &PoolPlace| {
-            XxHash64::oneshot(0, format!("{organisation} {}", place.host(&own)).as_bytes())
+        let rank = |pool: &PoolLocation| {
+            XxHash64::oneshot(0, format!("{organisation} {}", pool.host(&own)).as_bytes())
         };
-        let mut pools = self.own_pools();
+        let mut pools = self.host_pools();
         pools.sort_unstable_by_key(rank);
         pools
     }
 
-    fn renew_pools(&self) {
+    fn renew_pool_leases(&self) {
         let own = self.settings.borrow().id.clone();
         let wanted: Vec<String> = self
-            .own_pools()
+            .host_pools()
             .iter()
-            .map(|place| place.host(&own).to_owned())
+            .map(|pool| pool.host(&own).to_owned())
             .collect();
         let now = self.clock.now();
         let due = self
             .organisations
             .leases
             .borrow_mut()
-            .renew(&wanted, POOLS, now);
+            .renew(&wanted, POOLS_PER_HOST, now);
         for peer in due.iter().filter_map(|id| self.peers.get(id)) {
             peer.say(LinkMessage::RenewPool);
         }
     }
 
-    /// The pools that this host's part of the tokens comes into being in: as many
-    /// for each host, whoever takes itself for a reader.
-    fn own_pools(&self) -> Vec<PoolPlace> {
+    /// Returns the pools that generate this host's share of the tokens. Their number
+    /// is limited to [`POOLS_PER_HOST`] for each host, however many daemons take
+    /// themselves for readers.
+    fn host_pools(&self) -> Vec<PoolLocation> {
         let own = self.settings.borrow().id.clone();
         let plan = self.members.plan.borrow();
         let rank = |id: &str| XxHash64::oneshot(0, id.as_bytes());
         let peers = plan.readers.iter().filter_map(|id| self.peers.get(id));
-        let mut pools: Vec<(u64, PoolPlace)> = peers
+        let mut pools: Vec<(u64, PoolLocation)> = peers
             .filter(|peer| peer.is_linked())
-            .map(|peer| (rank(&peer.address.id), PoolPlace::Peer(peer)))
+            .map(|peer| (rank(&peer.address.id), PoolLocation::Remote(peer)))
             .collect();
         if plan.is_reader {
-            pools.push((rank(&own), PoolPlace::Here));
+            pools.push((rank(&own), PoolLocation::Local));
         }
         pools.sort_unstable_by_key(|(rank, _)| *rank);
-        pools.truncate(POOLS);
-        pools.into_iter().map(|(_, place)| place).collect()
+        pools.truncate(POOLS_PER_HOST);
+        pools.into_iter().map(|(_, pool)| pool).collect()
     }
 
-    async fn ask_peer(&self, peer: &Peer, organisation: &str, wanted: u32) -> Option<TokenGrant> {
-        let (ask, answer) = self.organisations.begin_ask();
+    async fn request_from_peer(
+        &self,
+        peer: &Peer,
+        organisation: &str,
+        wanted: u32,
+    ) -> Option<TokenGrant> {
+        let (ask, answer) = self.organisations.begin_request();
         let message = LinkMessage::WantTokens {
             ask,
             organisation: organisation.to_owned(),
             wanted,
         };
         if !peer.say(message) {
-            self.organisations.end_ask(ask);
+            self.organisations.end_request(ask);
             return None;
         }
-        let answer = tokio::time::timeout(ANSWER_WITHIN, answer).await;
-        self.organisations.end_ask(ask);
+        let answer = tokio::time::timeout(POOL_RESPONSE_TIMEOUT, answer).await;
+        self.organisations.end_request(ask);
         answer.ok()?.ok()
     }
 
-    /// Takes tokens out of this daemon's pool.
+    /// Grants up to `wanted` tokens for `organisation` from this daemon's pool.
     #[must_use]
     pub fn grant_tokens(&self, organisation: &str, wanted: u32) -> TokenGrant {
-        let Some(limit) = self.limit_of(organisation) else {
-            return NOTHING;
+        let Some(limit) = self.rate_limit(organisation) else {
+            return EMPTY_GRANT;
         };
         let share = self.pool_topology().share();
         let now = self.clock.now();
@@ -286,7 +301,7 @@
         pool.grant(organisation, limit, share, wanted, now)
     }
 
-    fn limit_of(&self, organisation: &str) -> Option<RateLimit> {
+    fn rate_limit(&self, organisation: &str) -> Option<RateLimit> {
         let index = self.current_index();
         index.organisations().organisation(organisation)?.limit
     }
@@ -296,16 +311,19 @@
         let now = self.clock.now();
         let since = now.checked_sub(POOL_LEASE_DURATION).unwrap_or(now);
         let hosts = self.organisations.zone_hosts.get();
-        let is_own = self
+        let holds_own_lease = self
             .organisations
             .leases
             .borrow()
             .is_counted_at(&settings.id, now);
         PoolTopology {
-            zones: settings.zones.len().max(self.organisations.zones.get()),
-            pools: POOLS.min(hosts),
+            zones: settings
+                .zones
+                .len()
+                .max(self.organisations.zone_count.get()),
+            pools: POOLS_PER_HOST.min(hosts),
             hosts,
-            leased_by: self.peers.leased_by(&settings.zone, since) + usize::from(is_own),
+            leased_by: self.peers.leased_by(&settings.zone, since) + usize::from(holds_own_lease),
         }
     }
 }
@@ -318,36 +336,36 @@
             .map_or(1, |entry| entry.token_cache.wanted(entry.waiting))
     }
 
-    fn begin_ask(&self) -> (u64, oneshot::Receiver<TokenGrant>) {
-        let ask = self.next_ask.get();
-        self.next_ask.set(ask + 1);
+    fn begin_request(&self) -> (u64, oneshot::Receiver<TokenGrant>) {
+        let ask = self.next_request_id.get();
+        self.next_request_id.set(ask + 1);
         let (sender, answer) = oneshot::channel();
-        self.asked.borrow_mut().insert(ask, sender);
+        self.pending_requests.borrow_mut().insert(ask, sender);
         (ask, answer)
     }
 
-    fn end_ask(&self, ask: u64) {
-        self.asked.borrow_mut().remove(&ask);
+    fn end_request(&self, ask: u64) {
+        self.pending_requests.borrow_mut().remove(&ask);
     }
 
-    /// Takes another daemon's answer to question `ask`. One that comes too late
-    /// is lost, and its tokens with it.
+    /// Delivers a pool's response to the request with this id. A response that arrives
+    /// too late is dropped, and its tokens are lost.
     pub fn deliver_grant(&self, ask: u64, grant: TokenGrant) {
-        let waiting = self.asked.borrow_mut().remove(&ask);
+        let waiting = self.pending_requests.borrow_mut().remove(&ask);
         if let Some(waiting) = waiting {
-            // Whoever asked may have given up in this moment.
+            // The requester may have timed out at this moment.
             let _ = waiting.send(grant);
         }
     }
 }
 
-/// The answer of this daemon's pool to another daemon.
+/// Returns the response of this daemon's pool to a request of another daemon.
 #[must_use]
 pub fn answer(shared: &MeshShared, ask: u64, organisation: &str, wanted: u32) -> LinkMessage {
     let grant = if shared.members.is_reader() {
         shared.grant_tokens(organisation, wanted)
     } else {
-        NOTHING
+        EMPTY_GRANT
     };
     LinkMessage::Tokens {
         ask,
