--- a/crates/mesh/src/rollouts/decide.rs
+++ b/crates/mesh/src/rollouts/decide.rs
@@ -202,7 +202,8 @@
 ) -> RolloutView {
     let to = entry.record.to.as_str();
     let is_recent = |received: &&ReceivedReport| now < received.received_at + REPORT_TTL;
-    let count_accepting = |side| {
+    // Number of targets of one side that take calls.
+    let count = |side| {
         let accepts_calls = |received: &&ReceivedReport| {
             received.report.accepts_calls && version_side(received, to) == side
         };
@@ -232,9 +233,9 @@
         stage_age: now.saturating_duration_since(entry.stage_entered_at),
         elapsed: now.saturating_duration_since(entry.ordered_at),
         allowed: entry.record.allowed,
-        new_targets: count_accepting(VersionSide::New),
+        new_targets: count(VersionSide::New),
         new_targets_stable_for: Duration::ZERO,
-        old_targets: count_accepting(VersionSide::Old),
+        old_targets: count(VersionSide::Old),
         verdict: verdict.clone(),
         old_at_work,
         old_unheard,
--- a/tests/mesh_organisations.rs
+++ b/tests/mesh_organisations.rs
@@ -1,5 +1,5 @@
-//! Organisations: whose a call is, when a key stops to hold, and how many calls
-//! run for each.
+//! Organisations: which one a call belongs to, when a withdrawn key is rejected, and
+//! how many calls each may run.
 
 #[path = "support/users.rs"]
 mod users;
@@ -14,7 +14,7 @@
 use users::{eventually, eventually_logs, fleet, reload_with, Fleet, SETTLE_WITHIN};
 
 const READ: &str = "GET /read/a HTTP/1.1";
-const OPEN: &str = "GET /open/a HTTP/1.1";
+const PUBLIC: &str = "GET /open/a HTTP/1.1";
 
 fn routes() -> Vec<RouteSpec> {
     vec![
@@ -33,9 +33,9 @@
     ]
 }
 
-/// A caller's host, one with the target and one more in its zone, with version 2
-/// in force on all, whose organisations are `organisations`.
-async fn keyed_fleet(organisations: &[OrganisationSpec]) -> Fleet {
+/// Starts a caller's host, a target's host and a third host in one availability zone,
+/// with version 2 of the configuration, which has `organisations`, in force on all.
+async fn fleet_with_organisations(organisations: &[OrganisationSpec]) -> Fleet {
     let fleet = fleet(
         &routes(),
         &[
@@ -49,7 +49,8 @@
     fleet
 }
 
-/// Puts version `number` in force on all hosts.
+/// Publishes version `number` of the configuration and waits until it is in force on
+/// all hosts.
 async fn publish(fleet: &Fleet, number: u64, organisations: &[OrganisationSpec]) {
     let text = keyed_text(number, &routes(), organisations);
     fleet.store.put("op", "config", &text);
@@ -68,15 +69,15 @@
     ];
     headers.extend(key.map(|key| ("Key", key)));
     let answer = Client::once(host.calls, line, &headers, b"").await;
-    answer.expect("an answer")
+    answer.expect("no response")
 }
 
-/// A call, and what becomes of it.
+/// A call and its expected result.
 struct HolderCase {
     line: &'static str,
     key: Option<&'static str>,
     status: u16,
-    /// The organisation that the target is told.
+    /// Organisation named to the target; empty for none.
     organisation: &'static str,
 }
 
@@ -84,11 +85,11 @@
 #[case(HolderCase { line: READ, key: Some("key-n2"), status: 200, organisation: "north" })]
 #[case(HolderCase { line: READ, key: Some("key-s"), status: 200, organisation: "south" })]
 #[case(HolderCase { line: READ, key: Some("key-x"), status: 401, organisation: "" })]
-#[case(HolderCase { line: OPEN, key: None, status: 200, organisation: "" })]
-#[case(HolderCase { line: OPEN, key: Some("key-x"), status: 200, organisation: "" })]
+#[case(HolderCase { line: PUBLIC, key: None, status: 200, organisation: "" })]
+#[case(HolderCase { line: PUBLIC, key: Some("key-x"), status: 200, organisation: "" })]
 #[tokio::test]
 async fn a_target_is_told_the_organisation_and_never_the_key(#[case] case: HolderCase) {
-    let fleet = keyed_fleet(&north_and_south()).await;
+    let fleet = fleet_with_organisations(&north_and_south()).await;
     let caller = &fleet.hosts[0];
     let known = eventually(SETTLE_WITHIN, || async {
         call(caller, READ, "warm", Some("key-n1")).await.status == 200
@@ -112,37 +113,41 @@
     }
 }
 
-/// Guards against a withdrawn key that goes on to hold on a host that no longer
-/// hears of the store.
+/// Guards against a withdrawn key that is accepted on without end by a host that
+/// cannot reach the store, and so does not learn of the withdrawal.
 #[tokio::test]
-async fn a_host_that_hears_nothing_refuses_keys_in_time() {
-    const WITHIN: Duration = Duration::from_secs(4);
-    let fleet = keyed_fleet(&north_and_south()).await;
+async fn a_host_cut_off_from_the_store_rejects_keys_in_time() {
+    const WITHDRAWAL_TIME: Duration = Duration::from_secs(4);
+    let fleet = fleet_with_organisations(&north_and_south()).await;
     for host in &fleet.hosts {
         reload_with(host, "[withdrawal]\nwithin = \"4s\"").await;
     }
     let caller = &fleet.hosts[0];
-    let serves = eventually(SETTLE_WITHIN, || async {
+    let is_served = eventually(SETTLE_WITHIN, || async {
         call(caller, READ, "warm", Some("key-n1")).await.status == 200
     });
-    assert!(serves.await, "{}", caller.log());
+    assert!(is_served.await, "{}", caller.log());
     fleet.store.set_fault(StoreFault::Resets);
-    let away = Instant::now();
-    // Nobody hears of it: the operator's word is taken, and the store is away.
+    let outage_began = Instant::now();
+    // No daemon learns of this version: the store takes the operator's write, but
+    // resets all connections of daemons.
     let text = keyed_text(3, &routes(), &north_and_south()[1..]);
     fleet.store.put("op", "config", &text);
     let mut last_run = Duration::ZERO;
-    while away.elapsed() < WITHIN + Duration::from_secs(2) {
-        let sent = away.elapsed();
+    while outage_began.elapsed() < WITHDRAWAL_TIME + Duration::from_secs(2) {
+        let sent = outage_began.elapsed();
         let answer = call(caller, READ, "keyed", Some("key-n1")).await;
         match answer.status {
             200 => last_run = sent,
             status => assert_eq!(status, 503, "{}", caller.log()),
         }
-        assert_eq!(call(caller, OPEN, "open", None).await.status, 200);
+        assert_eq!(call(caller, PUBLIC, "open", None).await.status, 200);
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    assert!(last_run < WITHIN, "a withdrawn key held for {last_run:?}");
+    assert!(
+        last_run < WITHDRAWAL_TIME,
+        "a withdrawn key was accepted for {last_run:?}"
+    );
     fleet.store.set_fault(StoreFault::None);
     let refused = eventually(SETTLE_WITHIN, || async {
         call(caller, READ, "late", Some("key-n1")).await.status == 401
@@ -151,19 +156,19 @@
     assert_eq!(call(caller, READ, "south", Some("key-s")).await.status, 200);
 }
 
-/// Guards against an organisation that runs more than its limit by calling at
-/// every host, while the daemon that grants is killed and starts anew.
+/// Guards against an organisation that exceeds its rate limit by calling on several
+/// hosts, also while a daemon that grants tokens is killed and restarted.
 #[tokio::test]
-async fn a_limit_holds_over_all_hosts() {
-    const FOR: Duration = Duration::from_secs(6);
+async fn a_rate_limit_holds_across_all_hosts() {
+    const TEST_TIME: Duration = Duration::from_secs(6);
     let limited = [OrganisationSpec::new("north", &["key-n1"]).limited(20.0, 10.0)];
-    let mut fleet = keyed_fleet(&limited).await;
+    let mut fleet = fleet_with_organisations(&limited).await;
     let began = Instant::now();
     let mut refused = 0;
-    let mut has_killed = false;
-    while began.elapsed() < FOR {
-        if began.elapsed() > FOR / 2 && !has_killed {
-            has_killed = true;
+    let mut is_killed = false;
+    while began.elapsed() < TEST_TIME {
+        if began.elapsed() > TEST_TIME / 2 && !is_killed {
+            is_killed = true;
             fleet.hosts[2].kill();
             fleet.hosts[2].start_daemon();
         }
@@ -176,7 +181,7 @@
         }
     }
     let runs = count_to_f64(fleet.runs_of("many"));
-    let allowed = 20.0 * FOR.as_secs_f64() + 10.0;
+    let allowed = 20.0 * TEST_TIME.as_secs_f64() + 10.0;
     assert!(runs <= allowed * 1.1 + 20.0, "{runs} of {allowed}");
     assert!(runs >= allowed * 0.4, "{runs} of {allowed}");
     assert!(refused > 100, "{refused}");
--- a/tests/mesh_rollout.rs
+++ b/tests/mesh_rollout.rs
@@ -1,4 +1,4 @@
-//! Roll-outs of software versions between stand-ins of the users' platform.
+//! Canary roll-outs of software versions, on stand-ins of the users' platform.
 
 #[path = "support/rollout.rs"]
 mod rollout;
@@ -9,105 +9,109 @@
 
 use filbert_platform_standin::{Conduct, Host, RouteSpec, StoreFault};
 use rollout::{
-    old_fleet, order, orders_run_twice, reaches, routes, runs, shown, start_new, state, Traffic,
-    ALLOWED, ON_THE_WAY, WORK,
+    duplicate_order_runs, order_rollout, reaches_state, rollout_list, rollout_state, routes, runs,
+    start_new_targets, start_old_fleet, Traffic, IN_FLIGHT_TIME, ROLLOUT_TIME, RUN_TIME,
 };
 use rstest::rstest;
 use users::{eventually, eventually_logs, host_spec, publish, SETTLE_WITHIN};
 
-/// Guards against a good version that is not moved to in time, against calls
-/// that the end of its old targets cuts, and orders run twice.
+/// Guards against three failures in the roll-out of a good version: its calls do
+/// not move before the deadline, calls are cut off when the old targets stop, or a
+/// POST call runs twice.
 #[tokio::test]
 async fn a_good_version_takes_over_without_a_lost_call() {
-    let fleet = old_fleet().await;
+    let fleet = start_old_fleet().await;
     let traffic = Traffic::start(&fleet.hosts[0]);
-    order(&fleet.store, "v2", ALLOWED);
-    let new = start_new(&fleet.store, Conduct::AnswersAfter(WORK)).await;
-    assert!(reaches(&fleet.store, "running", Duration::from_secs(2)).await);
-    assert!(reaches(&fleet.store, "completed", ALLOWED).await);
+    order_rollout(&fleet.store, "v2", ROLLOUT_TIME);
+    let new = start_new_targets(&fleet.store, Conduct::AnswersAfter(RUN_TIME)).await;
+    assert!(reaches_state(&fleet.store, "running", Duration::from_secs(2)).await);
+    assert!(reaches_state(&fleet.store, "completed", ROLLOUT_TIME).await);
     let at_work: u64 = fleet.hosts[2..]
         .iter()
         .map(|host| host.target.running())
         .sum();
-    assert_eq!(at_work, 0, "old targets end now");
+    assert_eq!(at_work, 0, "calls run at old targets that may be stopped");
     let before = runs(&fleet.hosts[2..]);
     tokio::time::sleep(Duration::from_secs(1)).await;
     assert_eq!(runs(&fleet.hosts[2..]), before, "an old target got a call");
-    let (asked, failed) = traffic.stop().await;
-    assert!(asked > 300, "{asked} calls");
-    assert_eq!(failed, 0, "of {asked} calls");
+    let (calls_made, calls_failed) = traffic.stop().await;
+    assert!(calls_made > 300, "{calls_made} calls");
+    assert_eq!(calls_failed, 0, "of {calls_made} calls");
     let all: Vec<&Host> = fleet.hosts.iter().chain(&new).collect();
-    assert_eq!(orders_run_twice(&all), 0);
+    assert_eq!(duplicate_order_runs(&all), 0);
 }
 
-/// A way in which version 2 is bad.
+/// How version 2 is faulty.
 #[derive(Clone, Copy, Debug)]
-enum BadWay {
-    /// All of it, with this conduct.
+enum BadVersion {
+    /// All targets have this conduct, from the start.
     Always(Conduct),
-    /// With this conduct after this time.
+    /// All targets have this conduct, after this time.
     After(Duration, Conduct),
-    /// On the route that has fewest calls.
+    /// All targets have this conduct, but only on one route.
     OnOneRoute(Conduct),
 }
 
-/// Guards against a bad version that gets more than its share, or calls after
-/// its verdict.
+/// Guards against a bad version that gets more calls than a trial allows, or still
+/// gets calls after the roll-back.
 #[rstest]
-#[case(BadWay::Always(Conduct::FailsAfter(WORK)))]
-#[case(BadWay::Always(Conduct::AnswersAfter(WORK.saturating_mul(8))))]
-#[case(BadWay::Always(Conduct::LosesAnswers))]
-#[case(BadWay::OnOneRoute(Conduct::FailsAfter(WORK)))]
-#[case(BadWay::After(Duration::from_secs(3), Conduct::FailsAfter(WORK)))]
-#[case(BadWay::Always(Conduct::FailsAbove(1, WORK)))]
+#[case(BadVersion::Always(Conduct::FailsAfter(RUN_TIME)))]
+#[case(BadVersion::Always(Conduct::AnswersAfter(RUN_TIME.saturating_mul(8))))]
+#[case(BadVersion::Always(Conduct::LosesAnswers))]
+#[case(BadVersion::OnOneRoute(Conduct::FailsAfter(RUN_TIME)))]
+#[case(BadVersion::After(Duration::from_secs(3), Conduct::FailsAfter(RUN_TIME)))]
+#[case(BadVersion::Always(Conduct::FailsAbove(1, RUN_TIME)))]
 #[tokio::test]
-async fn a_bad_version_is_taken_back(#[case] way: BadWay) {
-    let fleet = old_fleet().await;
+async fn a_bad_version_is_rolled_back(#[case] bad_version: BadVersion) {
+    let fleet = start_old_fleet().await;
     let traffic = Traffic::start(&fleet.hosts[0]);
-    order(&fleet.store, "v2", ALLOWED);
-    let first = match way {
-        BadWay::Always(conduct) => conduct,
-        BadWay::After(..) | BadWay::OnOneRoute(_) => Conduct::AnswersAfter(WORK),
+    order_rollout(&fleet.store, "v2", ROLLOUT_TIME);
+    let first = match bad_version {
+        BadVersion::Always(conduct) => conduct,
+        BadVersion::After(..) | BadVersion::OnOneRoute(_) => Conduct::AnswersAfter(RUN_TIME),
     };
-    let new = start_new(&fleet.store, first).await;
-    if let BadWay::OnOneRoute(conduct) = way {
+    let new = start_new_targets(&fleet.store, first).await;
+    if let BadVersion::OnOneRoute(conduct) = bad_version {
         for host in &new {
             host.target.set_conduct_on("/rare/", conduct);
         }
     }
-    if let BadWay::After(pause, conduct) = way {
+    if let BadVersion::After(pause, conduct) = bad_version {
         tokio::time::sleep(pause).await;
         for host in &new {
             host.target.set_conduct(conduct);
         }
     }
-    assert!(reaches(&fleet.store, "rolled_back", ALLOWED).await);
-    assert!(shown(&fleet.store)
+    assert!(reaches_state(&fleet.store, "rolled_back", ROLLOUT_TIME).await);
+    assert!(rollout_list(&fleet.store)
         .await
         .contains("quotes to v2: rolled_back"));
-    tokio::time::sleep(ON_THE_WAY).await;
+    tokio::time::sleep(IN_FLIGHT_TIME).await;
     let before = runs(&new);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    assert_eq!(runs(&new), before, "a call after the verdict");
-    let (asked, _) = traffic.stop().await;
-    assert!(before < asked / 4, "{before} of {asked} calls went there");
+    assert_eq!(runs(&new), before, "a call after the roll-back");
+    let (calls_made, _) = traffic.stop().await;
+    assert!(
+        before < calls_made / 4,
+        "the bad version got {before} of {calls_made} calls"
+    );
     let all: Vec<&Host> = fleet.hosts.iter().chain(&new).collect();
-    assert_eq!(orders_run_twice(&all), 0);
+    assert_eq!(duplicate_order_runs(&all), 0);
 }
 
-/// Guards against an order that hangs for want of targets.
+/// Guards against a roll-out that never ends, as the new version has no targets.
 #[tokio::test]
 async fn an_order_without_targets_is_rolled_back_in_time() {
-    let fleet = old_fleet().await;
-    order(&fleet.store, "v2", Duration::from_secs(4));
-    assert!(reaches(&fleet.store, "rolled_back", Duration::from_secs(4)).await);
+    let fleet = start_old_fleet().await;
+    order_rollout(&fleet.store, "v2", Duration::from_secs(4));
+    assert!(reaches_state(&fleet.store, "rolled_back", Duration::from_secs(4)).await);
     let answer = fleet.hosts[0]
         .call("GET /read/a HTTP/1.1", "after", b"")
         .await;
     assert_eq!(answer.map(|answer| answer.status), Some(200));
 }
 
-/// Guards against orders that cannot be read, which must change nothing.
+/// Guards against a malformed order that starts a roll-out or disturbs calls.
 #[rstest]
 #[case(br#"{"service":"quotes","to":"v2"}"#)]
 #[case(br#"{"service":"other","to":"v2","duration":"3s"}"#)]
@@ -115,7 +119,7 @@
 #[case(b"\x00\xff")]
 #[tokio::test]
 async fn an_unreadable_order_changes_nothing(#[case] text: &[u8]) {
-    let fleet = old_fleet().await;
+    let fleet = start_old_fleet().await;
     fleet.store.put("op", "rollout/quotes", text);
     let logged = eventually(SETTLE_WITHIN, || async {
         fleet
@@ -124,14 +128,15 @@
             .any(|host| host.log().contains("event=rollout_order_unreadable"))
     });
     assert!(logged.await);
-    assert_eq!(state(&fleet.store), "");
+    assert_eq!(rollout_state(&fleet.store), "");
     let answer = fleet.hosts[0]
         .call("GET /read/a HTTP/1.1", "after", b"")
         .await;
     assert_eq!(answer.map(|answer| answer.status), Some(200));
 }
 
-/// The hosts whose daemons ask the store for the fleet, as their logs say.
+/// Returns the indices of the hosts whose daemons query the store for the fleet, as
+/// their logs show. These daemons decide on roll-outs.
 fn deciders(hosts: &[Host]) -> Vec<usize> {
     let asks = |host: &Host| {
         let log = host.log();
@@ -147,17 +152,18 @@
         .collect()
 }
 
-/// Guards against a roll-out that ends with the daemons that decide on it.
+/// Guards against a roll-out that stalls because the deciding daemons were killed:
+/// other daemons have to take over.
 #[tokio::test]
-async fn a_bad_version_is_taken_back_though_its_deciders_die() {
-    let mut fleet = old_fleet().await;
+async fn a_bad_version_is_rolled_back_although_its_deciders_die() {
+    let mut fleet = start_old_fleet().await;
     let caller = Host::start(host_spec(&fleet.store, "caller-c", "b", "art")).await;
     assert!(eventually(SETTLE_WITHIN, || caller.is_ready()).await);
     let traffic = Traffic::start(&caller);
-    order(&fleet.store, "v2", ALLOWED);
-    let mut new = start_new(&fleet.store, Conduct::AnswersAfter(WORK)).await;
-    assert!(reaches(&fleet.store, "running", Duration::from_secs(2)).await);
-    assert!(eventually(ALLOWED, || async { runs(&new) > 0 }).await);
+    order_rollout(&fleet.store, "v2", ROLLOUT_TIME);
+    let mut new = start_new_targets(&fleet.store, Conduct::AnswersAfter(RUN_TIME)).await;
+    assert!(reaches_state(&fleet.store, "running", Duration::from_secs(2)).await);
+    assert!(eventually(ROLLOUT_TIME, || async { runs(&new) > 0 }).await);
     let mut killed = 0;
     for hosts in [&mut fleet.hosts, &mut new] {
         for host in deciders(hosts) {
@@ -167,45 +173,47 @@
     }
     assert!(killed > 0);
     for host in &new {
-        host.target.set_conduct(Conduct::FailsAfter(WORK));
+        host.target.set_conduct(Conduct::FailsAfter(RUN_TIME));
     }
-    assert!(reaches(&fleet.store, "rolled_back", ALLOWED).await);
+    assert!(reaches_state(&fleet.store, "rolled_back", ROLLOUT_TIME).await);
     traffic.stop().await;
 }
 
-/// Guards against a roll-back that waits for a store that is away.
+/// Guards against a roll-back that takes effect only once the store can be reached
+/// again.
 #[tokio::test]
-async fn a_roll_back_takes_effect_while_the_store_is_away() {
-    let fleet = old_fleet().await;
+async fn a_roll_back_takes_effect_while_the_store_is_unreachable() {
+    let fleet = start_old_fleet().await;
     let traffic = Traffic::start(&fleet.hosts[0]);
-    order(&fleet.store, "v2", ALLOWED);
-    let new = start_new(&fleet.store, Conduct::AnswersAfter(WORK)).await;
-    assert!(eventually(ALLOWED, || async { runs(&new) > 3 }).await);
+    order_rollout(&fleet.store, "v2", ROLLOUT_TIME);
+    let new = start_new_targets(&fleet.store, Conduct::AnswersAfter(RUN_TIME)).await;
+    assert!(eventually(ROLLOUT_TIME, || async { runs(&new) > 3 }).await);
     fleet.store.set_fault(StoreFault::Resets);
     for host in &new {
-        host.target.set_conduct(Conduct::FailsAfter(WORK));
+        host.target.set_conduct(Conduct::FailsAfter(RUN_TIME));
     }
     for host in &fleet.hosts {
         assert!(eventually_logs(host, "stage=RolledBack").await);
     }
-    tokio::time::sleep(ON_THE_WAY).await;
+    tokio::time::sleep(IN_FLIGHT_TIME).await;
     let before = runs(&new);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    assert_eq!(runs(&new), before, "a call after the verdict");
-    assert_eq!(state(&fleet.store), "running");
+    assert_eq!(runs(&new), before, "a call after the roll-back");
+    assert_eq!(rollout_state(&fleet.store), "running");
     fleet.store.set_fault(StoreFault::None);
-    assert!(reaches(&fleet.store, "rolled_back", SETTLE_WITHIN).await);
+    assert!(reaches_state(&fleet.store, "rolled_back", SETTLE_WITHIN).await);
     traffic.stop().await;
 }
 
-/// Guards against a verdict that is forgotten when all daemons are killed.
+/// Guards against a roll-back that is lost when all daemons are killed, as only the
+/// store still has it.
 #[tokio::test]
-async fn a_roll_back_outlives_all_daemons() {
-    let mut fleet = old_fleet().await;
+async fn a_roll_back_survives_the_restart_of_all_daemons() {
+    let mut fleet = start_old_fleet().await;
     let traffic = Traffic::start(&fleet.hosts[0]);
-    order(&fleet.store, "v2", ALLOWED);
-    let mut new = start_new(&fleet.store, Conduct::FailsAfter(WORK)).await;
-    assert!(reaches(&fleet.store, "rolled_back", ALLOWED).await);
+    order_rollout(&fleet.store, "v2", ROLLOUT_TIME);
+    let mut new = start_new_targets(&fleet.store, Conduct::FailsAfter(RUN_TIME)).await;
+    assert!(reaches_state(&fleet.store, "rolled_back", ROLLOUT_TIME).await);
     traffic.stop().await;
     for host in fleet.hosts.iter_mut().chain(&mut new) {
         host.kill();
@@ -225,67 +233,68 @@
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     assert_eq!(runs(&new), before, "the bad version got a call");
-    assert_eq!(state(&fleet.store), "rolled_back");
+    assert_eq!(rollout_state(&fleet.store), "rolled_back");
 }
 
-/// Guards against a completed roll-out that is undone or judged anew by a store
-/// that comes back from an older copy, with the operator's order written again.
+/// Guards against a completed roll-out that is undone or repeated when the store is
+/// restored from a copy without it and the operator writes the order again.
 #[tokio::test]
-async fn a_completed_roll_out_outlives_an_older_copy_of_the_store() {
-    let fleet = old_fleet().await;
+async fn a_completed_roll_out_survives_a_restored_store() {
+    let fleet = start_old_fleet().await;
     let traffic = Traffic::start(&fleet.hosts[0]);
     let copy = fleet.store.copy();
-    order(&fleet.store, "v2", ALLOWED);
-    let new = start_new(&fleet.store, Conduct::AnswersAfter(WORK)).await;
-    assert!(reaches(&fleet.store, "completed", ALLOWED).await);
+    order_rollout(&fleet.store, "v2", ROLLOUT_TIME);
+    let new = start_new_targets(&fleet.store, Conduct::AnswersAfter(RUN_TIME)).await;
+    assert!(reaches_state(&fleet.store, "completed", ROLLOUT_TIME).await);
     fleet.store.set_fault(StoreFault::Resets);
     fleet.store.come_back_from(&copy);
     fleet.store.set_fault(StoreFault::None);
-    order(&fleet.store, "v2", ALLOWED);
-    assert!(reaches(&fleet.store, "completed", SETTLE_WITHIN).await);
+    order_rollout(&fleet.store, "v2", ROLLOUT_TIME);
+    assert!(reaches_state(&fleet.store, "completed", SETTLE_WITHIN).await);
     tokio::time::sleep(Duration::from_secs(2)).await;
-    assert_eq!(state(&fleet.store), "completed");
-    let at_old = runs(&fleet.hosts[2..]);
+    assert_eq!(rollout_state(&fleet.store), "completed");
+    let old_runs = runs(&fleet.hosts[2..]);
     tokio::time::sleep(Duration::from_secs(1)).await;
-    assert_eq!(runs(&fleet.hosts[2..]), at_old);
-    let (_, failed) = traffic.stop().await;
-    assert_eq!(failed, 0);
+    assert_eq!(runs(&fleet.hosts[2..]), old_runs);
+    let (_, calls_failed) = traffic.stop().await;
+    assert_eq!(calls_failed, 0);
     assert!(runs(&new) > 0);
 }
 
-/// Guards against a write that the store makes late, after it came back from an
-/// older copy in which its premise is another's.
+/// Guards against a write that the store applies late, after it was restored from an
+/// older copy: the row version on which the write was conditional may since belong
+/// to another write.
 #[tokio::test]
-async fn a_late_write_of_the_former_era_does_no_harm() {
-    let fleet = old_fleet().await;
+async fn a_late_write_of_the_former_era_has_no_effect() {
+    let fleet = start_old_fleet().await;
     let traffic = Traffic::start(&fleet.hosts[0]);
     let copy = fleet.store.copy();
-    order(&fleet.store, "v2", ALLOWED);
-    let new = start_new(&fleet.store, Conduct::AnswersAfter(WORK)).await;
-    assert!(eventually(ALLOWED, || async { runs(&new) > 3 }).await);
+    order_rollout(&fleet.store, "v2", ROLLOUT_TIME);
+    let new = start_new_targets(&fleet.store, Conduct::AnswersAfter(RUN_TIME)).await;
+    assert!(eventually(ROLLOUT_TIME, || async { runs(&new) > 3 }).await);
     fleet
         .store
         .set_fault(StoreFault::LateWrites(Duration::from_millis(1_500)));
     for host in &new {
-        host.target.set_conduct(Conduct::FailsAfter(WORK));
+        host.target.set_conduct(Conduct::FailsAfter(RUN_TIME));
     }
     assert!(eventually_logs(&fleet.hosts[0], "stage=RolledBack").await);
     fleet.store.come_back_from(&copy);
-    order(&fleet.store, "v2", ALLOWED);
+    order_rollout(&fleet.store, "v2", ROLLOUT_TIME);
     fleet.store.set_fault(StoreFault::None);
-    assert!(reaches(&fleet.store, "rolled_back", SETTLE_WITHIN).await);
+    assert!(reaches_state(&fleet.store, "rolled_back", SETTLE_WITHIN).await);
     let before = runs(&new);
     tokio::time::sleep(Duration::from_secs(2)).await;
-    assert_eq!(state(&fleet.store), "rolled_back");
+    assert_eq!(rollout_state(&fleet.store), "rolled_back");
     assert_eq!(runs(&new), before, "the bad version got a call");
     traffic.stop().await;
 }
 
-/// Guards against rows that stay lost, and a version that goes back, when the
-/// store comes back from an older copy.
+/// Guards against a host's row that stays lost, and a version of the configuration
+/// that is replaced by an older one, when the store is restored from an older copy.
 #[tokio::test]
-async fn rows_and_versions_outlive_an_older_copy_of_the_store() {
-    let fleet = old_fleet().await;
+async fn rows_and_versions_survive_a_restored_store() {
+    let fleet = start_old_fleet().await;
     let copy = fleet.store.copy();
     let late = Host::start(host_spec(&fleet.store, "late", "b", "quotes")).await;
     let has_row = || async {
@@ -309,10 +318,14 @@
     fleet.store.set_fault(StoreFault::None);
     assert!(
         eventually(Duration::from_secs(4), has_row).await,
-        "the row is back"
+        "the host's row was not written again"
+    );
+    assert!(
+        serves_new().await,
+        "the version in force was replaced by an older one"
     );
-    assert!(serves_new().await, "a version went back");
-    // Its number is another row's now; the next version is higher.
+    // The restored store gives the number of the lost version to another row. The next
+    // version has a higher number.
     newer.push(RouteSpec::reads("/newest/", "quotes"));
     publish(&fleet.store, 6, &newer);
     let serves_newest = || async {
--- a/tests/support/rollout.rs
+++ b/tests/support/rollout.rs
@@ -1,4 +1,4 @@
-//! Helpers of the tests that roll software versions out between stand-ins.
+//! Helpers for tests of canary roll-outs on stand-ins.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -9,42 +9,43 @@
 
 use crate::users::{eventually, fleet, host_spec, Fleet};
 
-/// Work of a call at a healthy target.
-pub const WORK: Duration = Duration::from_millis(30);
-/// Time that orders allow.
-pub const ALLOWED: Duration = Duration::from_secs(9);
-/// Time after a verdict in which calls on their way reach their target.
-pub const ON_THE_WAY: Duration = Duration::from_millis(500);
-/// Clients that call one after another.
-pub const CLIENTS: usize = 8;
+/// Run time of a call at a healthy target.
+pub const RUN_TIME: Duration = Duration::from_millis(30);
+/// Time from an order to the deadline of its roll-out.
+pub const ROLLOUT_TIME: Duration = Duration::from_secs(9);
+/// Time after a roll-back within which calls in flight may still reach a target.
+pub const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
+/// Number of clients, each of which sends one call at a time.
+pub const CLIENT_COUNT: usize = 8;
 
-/// Clients that call until they are stopped.
+/// Clients that send calls until they are stopped.
 pub struct Traffic {
-    stops: Arc<AtomicBool>,
-    asked: Arc<AtomicUsize>,
-    failed: Arc<AtomicUsize>,
+    is_stopped: Arc<AtomicBool>,
+    calls_made: Arc<AtomicUsize>,
+    calls_failed: Arc<AtomicUsize>,
     clients: Vec<tokio::task::JoinHandle<()>>,
 }
 
 impl Traffic {
-    /// Starts clients of `caller`: reads on two routes, and orders.
+    /// Starts clients that call through `caller`: GET calls on two routes, and POST
+    /// calls on a third.
     pub fn start(caller: &Host) -> Traffic {
         let traffic = Traffic {
-            stops: Arc::default(),
-            asked: Arc::default(),
-            failed: Arc::default(),
+            is_stopped: Arc::default(),
+            calls_made: Arc::default(),
+            calls_failed: Arc::default(),
             clients: Vec::new(),
         };
-        let clients = (0..CLIENTS).map(|client| {
-            let (stops, asked, failed) = (
-                Arc::clone(&traffic.stops),
-                Arc::clone(&traffic.asked),
-                Arc::clone(&traffic.failed),
+        let clients = (0..CLIENT_COUNT).map(|client| {
+            let (is_stopped, calls_made, calls_failed) = (
+                Arc::clone(&traffic.is_stopped),
+                Arc::clone(&traffic.calls_made),
+                Arc::clone(&traffic.calls_failed),
             );
             let calls = caller.calls;
             tokio::spawn(async move {
                 let mut number = 0;
-                while !stops.load(Ordering::Relaxed) {
+                while !is_stopped.load(Ordering::Relaxed) {
                     number += 1;
                     let line = match number % 3 {
                         0 => "POST /order/ HTTP/1.1",
@@ -53,9 +54,9 @@
                     };
                     let id = format!("c{client}-{number}");
                     let answer = Client::once(calls, line, &call_headers(&id), b"").await;
-                    asked.fetch_add(1, Ordering::Relaxed);
+                    calls_made.fetch_add(1, Ordering::Relaxed);
                     if answer.is_none_or(|answer| answer.status != 200) {
-                        failed.fetch_add(1, Ordering::Relaxed);
+                        calls_failed.fetch_add(1, Ordering::Relaxed);
                     }
                 }
             })
@@ -64,15 +65,15 @@
         Traffic { clients, ..traffic }
     }
 
-    /// Stops them; calls asked and calls not served.
+    /// Stops the clients. Returns the number of calls and of those that failed.
     pub async fn stop(self) -> (usize, usize) {
-        self.stops.store(true, Ordering::Relaxed);
+        self.is_stopped.store(true, Ordering::Relaxed);
         for client in self.clients {
-            client.await.expect("a client ends");
+            client.await.expect("a client panicked");
         }
         (
-            self.asked.load(Ordering::Relaxed),
-            self.failed.load(Ordering::Relaxed),
+            self.calls_made.load(Ordering::Relaxed),
+            self.calls_failed.load(Ordering::Relaxed),
         )
     }
 }
@@ -85,8 +86,8 @@
     ]
 }
 
-/// Two callers and three targets of version 1, in two zones.
-pub async fn old_fleet() -> Fleet {
+/// Starts two callers and three targets of version 1, in two availability zones.
+pub async fn start_old_fleet() -> Fleet {
     let fleet = fleet(
         &routes(),
         &[
@@ -99,12 +100,12 @@
     )
     .await;
     for host in &fleet.hosts {
-        host.target.set_conduct(Conduct::AnswersAfter(WORK));
+        host.target.set_conduct(Conduct::AnswersAfter(RUN_TIME));
     }
     fleet
 }
 
-pub fn order(store: &StandinStore, to: &str, allowed: Duration) {
+pub fn order_rollout(store: &StandinStore, to: &str, allowed: Duration) {
     let text = format!(
         r#"{{"service":"quotes","to":"{to}","duration":"{}ms"}}"#,
         allowed.as_millis()
@@ -112,8 +113,8 @@
     store.put("op", "rollout/quotes", text.as_bytes());
 }
 
-/// Starts three targets of version 2, each treating calls as `conduct` says.
-pub async fn start_new(store: &StandinStore, conduct: Conduct) -> Vec<Host> {
+/// Starts three targets of version 2 with this `conduct`.
+pub async fn start_new_targets(store: &StandinStore, conduct: Conduct) -> Vec<Host> {
     let mut hosts = Vec::new();
     for (name, zone) in [("new-1", "a"), ("new-2", "b"), ("new-3", "a")] {
         let spec = HostSpec {
@@ -127,23 +128,23 @@
     hosts
 }
 
-pub fn state(store: &StandinStore) -> String {
+pub fn rollout_state(store: &StandinStore) -> String {
     let value = store.value("status", "rollout/quotes").unwrap_or_default();
     let status: serde_json::Value = serde_json::from_slice(&value).unwrap_or_default();
     status["state"].as_str().unwrap_or_default().to_owned()
 }
 
-pub async fn reaches(store: &StandinStore, wanted: &str, within: Duration) -> bool {
-    eventually(within, || async { state(store) == wanted }).await
+pub async fn reaches_state(store: &StandinStore, wanted: &str, within: Duration) -> bool {
+    eventually(within, || async { rollout_state(store) == wanted }).await
 }
 
-/// What an operator is shown.
-pub async fn shown(store: &StandinStore) -> String {
+/// Returns the output of `filbertctl mesh rollout`.
+pub async fn rollout_list(store: &StandinStore) -> String {
     let output = tokio::process::Command::new(env!("CARGO_BIN_EXE_filbertctl"))
         .args(["mesh", "--store", &store.address.to_string(), "rollout"])
         .output()
         .await
-        .expect("it runs");
+        .expect("filbertctl does not start");
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
@@ -151,7 +152,7 @@
     hosts.iter().map(|host| host.target.runs().len()).sum()
 }
 
-pub fn orders_run_twice(hosts: &[&Host]) -> usize {
+pub fn duplicate_order_runs(hosts: &[&Host]) -> usize {
     let mut ids: Vec<String> = hosts
         .iter()
         .flat_map(|host| host.target.runs())
