--- a/crates/mesh/src/rollouts/counters.rs
+++ b/crates/mesh/src/rollouts/counters.rs
@@ -164,7 +164,7 @@
 
 impl ReceivedReports {
     /// Records a report that arrives at `now`. Ignores it if a newer one of the same
-    /// incarnation is known, or if it is of another host and [`MAX_REPORTS`] are kept.
+    /// incarnation is known, or if it is of another host and `MAX_REPORTS` are kept.
     pub fn record(&self, report: TargetReport, now: Instant) {
         let mut by_host = self.by_host.borrow_mut();
         if let Some(known) = by_host.get(&report.host) {
--- a/crates/mesh/src/rollouts/decide.rs
+++ b/crates/mesh/src/rollouts/decide.rs
@@ -28,6 +28,7 @@
 /// What a deciding daemon remembers of one roll-out between evaluations.
 struct RolloutEvaluator {
     judge: CanaryJudge,
+    /// Time at which this daemon last confirmed or entered a stage.
     confirmed_at: Option<Instant>,
     /// Number of targets of the new version that take calls, and the time at which
     /// this number last changed.
--- a/crates/mesh/src/rollouts/row_writer.rs
+++ b/crates/mesh/src/rollouts/row_writer.rs
@@ -140,7 +140,7 @@
     let outcome = shared.store.edit_rows_if(&conditions, &edits).await;
     if shared.store.era() != era {
         // The store was restored meanwhile, so the condition referred to a row of
-        // the former era. The rows are read again.
+        // the previous era. The row is read again.
         return false;
     }
     match outcome {
--- a/tests/mesh_organisations.rs
+++ b/tests/mesh_organisations.rs
@@ -113,7 +113,7 @@
     }
 }
 
-/// Guards against a withdrawn key that is accepted on without end by a host that
+/// Guards against a withdrawn key that is accepted indefinitely by a host that
 /// cannot reach the store, and so does not learn of the withdrawal.
 #[tokio::test]
 async fn a_host_cut_off_from_the_store_rejects_keys_in_time() {
@@ -149,10 +149,10 @@
         "a withdrawn key was accepted for {last_run:?}"
     );
     fleet.store.set_fault(StoreFault::None);
-    let refused = eventually(SETTLE_WITHIN, || async {
+    let rejected = eventually(SETTLE_WITHIN, || async {
         call(caller, READ, "late", Some("key-n1")).await.status == 401
     });
-    assert!(refused.await, "{}", caller.log());
+    assert!(rejected.await, "{}", caller.log());
     assert_eq!(call(caller, READ, "south", Some("key-s")).await.status, 200);
 }
 
@@ -164,11 +164,11 @@
     let limited = [OrganisationSpec::new("north", &["key-n1"]).limited(20.0, 10.0)];
     let mut fleet = fleet_with_organisations(&limited).await;
     let began = Instant::now();
-    let mut refused = 0;
-    let mut is_killed = false;
+    let mut rejected = 0;
+    let mut was_killed = false;
     while began.elapsed() < TEST_TIME {
-        if began.elapsed() > TEST_TIME / 2 && !is_killed {
-            is_killed = true;
+        if began.elapsed() > TEST_TIME / 2 && !was_killed {
+            was_killed = true;
             fleet.hosts[2].kill();
             fleet.hosts[2].start_daemon();
         }
@@ -176,7 +176,7 @@
             let answer = call(&fleet.hosts[host], READ, "many", Some("key-n1")).await;
             if answer.status == 429 {
                 assert_ne!(answer.header("Retry-After"), "");
-                refused += 1;
+                rejected += 1;
             }
         }
     }
@@ -184,5 +184,5 @@
     let allowed = 20.0 * TEST_TIME.as_secs_f64() + 10.0;
     assert!(runs <= allowed * 1.1 + 20.0, "{runs} of {allowed}");
     assert!(runs >= allowed * 0.4, "{runs} of {allowed}");
-    assert!(refused > 100, "{refused}");
+    assert!(rejected > 100, "{rejected}");
 }
--- a/tests/mesh_rollout.rs
+++ b/tests/mesh_rollout.rs
@@ -265,7 +265,7 @@
 /// older copy: the row version on which the write was conditional may since belong
 /// to another write.
 #[tokio::test]
-async fn a_late_write_of_the_former_era_has_no_effect() {
+async fn a_late_write_of_the_previous_era_has_no_effect() {
     let fleet = start_old_fleet().await;
     let traffic = Traffic::start(&fleet.hosts[0]);
     let copy = fleet.store.copy();
