--- a/crates/mesh/src/calls/admit.rs
+++ b/crates/mesh/src/calls/admit.rs
@@ -9,8 +9,8 @@
 
 use super::access_log::AccessLogEntry;
 use super::{service_unavailable, ClientAnswer, ClientCall, TOO_MANY_REQUESTS, UNAUTHORIZED};
-use crate::organisations::tokens::TokenHold;
-use crate::organisations::CallHolder;
+use crate::organisations::tokens::CallToken;
+use crate::organisations::KeyHolder;
 use crate::state::MeshShared;
 
 /// Time after which a client should retry if this daemon's configuration is too
@@ -34,18 +34,18 @@
     call: &mut ClientCall,
     deadline: Instant,
     log_entry: &mut AccessLogEntry,
-) -> Result<Option<TokenHold>, ClientAnswer> {
+) -> Result<Option<CallToken>, ClientAnswer> {
     let api_key = headers::read_api_key(&call.head);
     let organisations = &shared.organisations;
     let organisation = match organisations.holder(index, route, api_key) {
-        CallHolder::Nobody => return Ok(None),
-        CallHolder::Organisation(organisation) => organisation,
-        CallHolder::Unknown => {
+        KeyHolder::Anonymous => return Ok(None),
+        KeyHolder::Organisation(organisation) => organisation,
+        KeyHolder::Unknown => {
             shared.metrics.keyed("unknown");
             log_entry.reason = "unknown_key";
             return Err(ClientAnswer::local(UNAUTHORIZED));
         }
-        CallHolder::Stale => {
+        KeyHolder::Stale => {
             shared.metrics.keyed("out_of_date");
             log_entry.reason = "keys_out_of_date";
             return Err(service_unavailable(STALE_KEYS_RETRY_AFTER));
--- a/crates/mesh/src/messages.rs
+++ b/crates/mesh/src/messages.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::quarantine::SuspectCall;
-use crate::rollouts::news::{RolloutNews, TargetTally};
+use crate::rollouts::messages::{RolloutUpdate, TargetReport};
 use crate::text_delta::TextDelta;
 
 pub use calls::{AnswerHead, CallHead, ExpectedRunTime, ReplyHead};
@@ -170,9 +170,9 @@
     /// Calls that were running when a target crashed, or that have succeeded since.
     Suspects(Vec<SuspectCall>),
     /// State of the roll-outs.
-    Rollouts(Vec<RolloutNews>),
+    Rollouts(Vec<RolloutUpdate>),
     /// Counts from gates, for the daemons that decide on roll-outs.
-    Tallies(Vec<TargetTally>),
+    TargetReports(Vec<TargetReport>),
     /// The sender has no steps that it can send.
     NoSteps {
         /// Whether the steps are too large for a link. Otherwise the sender does not
--- a/crates/mesh/src/news.rs
+++ b/crates/mesh/src/news.rs
@@ -224,7 +224,7 @@
     match message {
         LinkMessage::Target(_) => CrossingCause::Load,
         LinkMessage::Suspects(_) => CrossingCause::Suspect,
-        LinkMessage::Rollouts(_) | LinkMessage::Tallies(_) => CrossingCause::Rollout,
+        LinkMessage::Rollouts(_) | LinkMessage::TargetReports(_) => CrossingCause::Rollout,
         LinkMessage::InForce { .. }
         | LinkMessage::RequestVersion { .. }
         | LinkMessage::OversizedVersion
@@ -288,21 +288,23 @@
         }
         LinkMessage::HostsChanged(changes) => shared.take_changes(changes, from),
         LinkMessage::Suspects(calls) => shared.quarantine.hear(&calls, from),
-        LinkMessage::Rollouts(news) => shared.hear_rollouts(&news, from),
-        LinkMessage::VersionConfirmation(confirmation) => shared.hear_age(confirmation, peer),
+        LinkMessage::Rollouts(news) => shared.merge_rollouts(&news, from),
+        LinkMessage::VersionConfirmation(confirmation) => {
+            shared.record_upstream_confirmation(confirmation, peer);
+        }
         LinkMessage::StoreClock {
             era,
             latest_us,
             asked_us,
         } => {
             let requested_at = Duration::from_micros(asked_us);
-            shared.hear_clock(era, Duration::from_micros(latest_us), requested_at);
+            shared.record_store_clock(era, Duration::from_micros(latest_us), requested_at);
         }
         LinkMessage::GrantTokens {
             request_id,
             granted,
             next_token_in_us,
-        } => shared.organisations.hear_grant(
+        } => shared.organisations.deliver_grant(
             request_id,
             TokenGrant {
                 tokens: granted,
@@ -312,7 +314,7 @@
         LinkMessage::RequestTokens { .. }
         | LinkMessage::RenewPoolLease
         | LinkMessage::RequestClock { .. }
-        | LinkMessage::Tallies(_)
+        | LinkMessage::TargetReports(_)
         | LinkMessage::InForce { .. }
         | LinkMessage::MembersChecksum(_)
         | LinkMessage::Hello { .. }
--- a/crates/mesh/src/serve_peers/news.rs
+++ b/crates/mesh/src/serve_peers/news.rs
@@ -109,7 +109,7 @@
         news.push(LinkMessage::MembersChecksum(shared.members_checksum()));
     }
     news.push(LinkMessage::Store(store));
-    news.extend(shared.version_age());
+    news.extend(shared.version_confirmation());
     news.extend(shared.quarantine.suspects());
     news.extend(shared.all_rollouts());
     // A restarted daemon that cannot reach the store gets the hosts from the daemons that
@@ -175,11 +175,11 @@
             None
         }
         LinkMessage::Rollouts(news) => {
-            shared.hear_rollouts(&news, "a daemon linked here");
+            shared.merge_rollouts(&news, "a daemon linked here");
             None
         }
-        LinkMessage::Tallies(tallies) => {
-            shared.hear_tallies(tallies);
+        LinkMessage::TargetReports(tallies) => {
+            shared.record_reports(tallies);
             None
         }
         LinkMessage::RequestTokens {
