--- a/crates/ctl/src/cmd/held.rs
+++ b/crates/ctl/src/cmd/held.rs
@@ -2,7 +2,7 @@
 //! targets ended under them, and letting one go.
 
 use error_stack::ResultExt;
-use filbert_mesh::held_rows::{key_of, HeldRow};
+use filbert_mesh::held_rows::{held_row_key, HeldRow};
 use filbert_mesh::rows::HOSTS_TABLE;
 use filbert_platform::store::{RowEdit, StoreClient};
 use filbert_policy::clock::{Clock, ClockReading, SystemClock};
@@ -29,7 +29,7 @@
 
 impl HeldCall {
     fn of(row: &HeldRow, clock: &ClockReading) -> HeldCall {
-        let record = row.record(clock);
+        let record = row.to_record(clock);
         let hold = hold_duration(record.strikes(), 0.0);
         let age = record
             .crashes()
@@ -55,8 +55,8 @@
     let held: Vec<HeldCall> = batch
         .rows
         .iter()
-        .filter_map(HeldRow::read)
-        .filter(|row| row.record(&clock).is_held())
+        .filter_map(HeldRow::decode)
+        .filter(|row| row.to_record(&clock).is_held())
         .map(|row| HeldCall::of(&row, &clock))
         .collect();
     if output == ReadFormat::Json {
@@ -82,10 +82,10 @@
 
 /// Lets a call go: its route's targets were mended, or it was held back wrongly.
 pub(super) async fn release(store: &StoreClient, call: CallIdentity) -> CtlResult<()> {
-    let row = HeldRow::release(call, &SystemClock.reading());
+    let row = HeldRow::released(call, &SystemClock.reading());
     let edit = RowEdit {
         table: HOSTS_TABLE,
-        key: &key_of(call),
+        key: &held_row_key(call),
         value: Some(row.value()),
     };
     store
--- a/crates/mesh/src/calls/attempt.rs
+++ b/crates/mesh/src/calls/attempt.rs
@@ -123,7 +123,7 @@
         },
         ReplyHead::Lost { ended, .. } => {
             if let Some(crash) = ended {
-                shared.quarantine.hear_crash(head.identity, crash);
+                shared.quarantine.merge_crash(head.identity, crash);
             }
             AttemptOutcome::Lost
         }
--- a/crates/mesh/src/calls/place.rs
+++ b/crates/mesh/src/calls/place.rs
@@ -159,7 +159,7 @@
                         let length = head.body_length.unwrap_or(0);
                         self.shared.note_answer(&self.route.name, length, ran);
                         if matches!(body, AnswerBody::Whole(_)) {
-                            self.shared.quarantine.ran_well(self.head.identity);
+                            self.shared.quarantine.record_success(self.head.identity);
                         }
                     }
                     return ClientAnswer::Target(head, body);
--- a/crates/mesh/src/feeds/take.rs
+++ b/crates/mesh/src/feeds/take.rs
@@ -21,7 +21,7 @@
             }
         }
         FeedSubject::Membership => {
-            shared.take_held_rows(batch.rows.iter());
+            shared.merge_held_rows(batch.rows.iter());
             for row in batch.rows.iter().filter(|row| is_rollout_key(&row.key)) {
                 shared.take_rollout_row(row);
             }
@@ -54,7 +54,7 @@
 /// Takes over a changed row of the table of hosts.
 pub(super) fn take_member(shared: &Rc<MeshShared>, row: &StoreRow) {
     if is_held_key(&row.key) {
-        shared.take_held_rows(std::iter::once(row));
+        shared.merge_held_rows(std::iter::once(row));
         return;
     }
     if is_rollout_key(&row.key) {
--- a/crates/mesh/src/gate/end.rs
+++ b/crates/mesh/src/gate/end.rs
@@ -21,7 +21,7 @@
         let pause = self.report_every.get().max(DOWN_PAUSE);
         self.state.borrow_mut().down_until = Some(self.clock.now() + pause);
         self.connections.clear();
-        self.changed.notify_waiters();
+        self.status_changed.notify_waiters();
         pause
     }
 
@@ -36,7 +36,7 @@
         call: CallIdentity,
         began: Instant,
     ) -> Option<AgedCrash> {
-        if self.has_left() {
+        if self.is_leaving() {
             return None;
         }
         let is_up = match self
@@ -54,7 +54,7 @@
             return None;
         }
         self.mark_down();
-        Some(self.quarantine.target_ended(call, began))
+        Some(self.quarantine.record_crash(call, began))
     }
 
     /// The same for a run whose answer had begun; nobody waits for the mark.
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -78,7 +78,7 @@
     is_stopping: Cell<bool>,
     crowd: Notify,
     /// Signals a change of the status that others must learn at once.
-    pub changed: Notify,
+    pub status_changed: Notify,
 }
 
 impl Gate {
@@ -117,12 +117,12 @@
             report_every: Cell::new(settings.times.report_every),
             is_stopping: Cell::new(false),
             crowd: Notify::new(),
-            changed: Notify::new(),
+            status_changed: Notify::new(),
         })
     }
 
     /// Takes over changed settings.
-    pub fn set_terms(&self, address: SocketAddr, times: &TimeSettings) {
+    pub fn apply_settings(&self, address: SocketAddr, times: &TimeSettings) {
         self.address.set(address);
         self.drain.set(times.drain);
         self.report_every.set(times.report_every);
@@ -131,19 +131,19 @@
     /// Closes the gate for good: the daemon is about to end.
     pub fn stop(&self) {
         self.is_stopping.set(true);
-        self.changed.notify_waiters();
+        self.status_changed.notify_waiters();
     }
 
     /// Calls at the target or waiting for it.
     #[must_use]
-    pub fn in_work(&self) -> u32 {
+    pub fn calls_in_progress(&self) -> u32 {
         let state = self.state.borrow();
         state.queue.running() + state.queue.waiting()
     }
 
     /// Whether the target said that it leaves.
     #[must_use]
-    pub fn has_left(&self) -> bool {
+    pub fn is_leaving(&self) -> bool {
         self.state.borrow().tracker.leaving_since().is_some()
     }
 
@@ -174,7 +174,7 @@
             self.rollouts.own.target_replaced(now);
         }
         if change != InstanceChange::None && change != InstanceChange::Stale {
-            self.changed.notify_waiters();
+            self.status_changed.notify_waiters();
         }
         change
     }
@@ -184,7 +184,7 @@
         let now = self.clock.now();
         let change = self.state.borrow_mut().tracker.leave(key, now);
         if change == InstanceChange::Draining {
-            self.changed.notify_waiters();
+            self.status_changed.notify_waiters();
         }
         change
     }
@@ -197,7 +197,7 @@
             .borrow_mut()
             .tracker
             .mark_left_before_restart(key, now);
-        self.changed.notify_waiters();
+        self.status_changed.notify_waiters();
     }
 
     /// The target's state as a roll-out lets it be: a version that takes no
@@ -216,15 +216,15 @@
 
     /// Whether the target takes calls, but for what a roll-out says.
     #[must_use]
-    pub fn would_take(&self) -> bool {
+    pub fn accepts_calls(&self) -> bool {
         self.own_state(&self.state.borrow(), self.clock.now()) == TargetState::Open
     }
 
     /// Takes word that a roll-out is at another stage: calls that wait for a
     /// target that is closed now are turned away, and others hear of it.
-    pub fn rollout_changed(&self) {
+    pub fn apply_rollout_change(&self) {
         self.dispatch();
-        self.changed.notify_waiters();
+        self.status_changed.notify_waiters();
     }
 
     fn own_state(&self, state: &GateState, now: Instant) -> TargetState {
--- a/crates/mesh/src/gate/wait.rs
+++ b/crates/mesh/src/gate/wait.rs
@@ -40,7 +40,7 @@
     /// Notes that the target gave a whole answer that is no failure.
     pub fn ended_well(self) {
         if let Some(run) = self.started() {
-            self.gate.quarantine.ran_well(run.call);
+            self.gate.quarantine.record_success(run.call);
         }
     }
 
@@ -206,7 +206,7 @@
     }
 
     /// Turns away calls that became too late while they waited. Runs for ever.
-    pub async fn keep_settled(self: Rc<Self>) {
+    pub async fn run_queue_expiry(self: Rc<Self>) {
         loop {
             if self.state.borrow().queue.waiting() == 0 {
                 self.crowd.notified().await;
--- a/crates/mesh/src/held_rows.rs
+++ b/crates/mesh/src/held_rows.rs
@@ -56,7 +56,7 @@
 impl HeldRow {
     /// The row of `call`.
     #[must_use]
-    pub fn of(call: CallIdentity, record: &CallRecord, clock: &ClockReading) -> HeldRow {
+    pub fn from_record(call: CallIdentity, record: &CallRecord, clock: &ClockReading) -> HeldRow {
         let stored_crash = |crash: &TargetCrash| StoredCrash {
             id: crash.id,
             began_ms: wall_ms(crash.began, clock),
@@ -71,7 +71,7 @@
 
     /// The row that lets `call` go.
     #[must_use]
-    pub fn release(call: CallIdentity, clock: &ClockReading) -> HeldRow {
+    pub fn released(call: CallIdentity, clock: &ClockReading) -> HeldRow {
         HeldRow {
             call,
             crashes: Vec::new(),
@@ -81,7 +81,7 @@
 
     /// The row of `row`; `None` when it is another, or cannot be read.
     #[must_use]
-    pub fn read(row: &StoreRow) -> Option<HeldRow> {
+    pub fn decode(row: &StoreRow) -> Option<HeldRow> {
         if !is_held_key(&row.key) {
             return None;
         }
@@ -103,7 +103,7 @@
 
     /// What it says.
     #[must_use]
-    pub fn record(&self, clock: &ClockReading) -> CallRecord {
+    pub fn to_record(&self, clock: &ClockReading) -> CallRecord {
         let crash = |crash: &StoredCrash| {
             Some(TargetCrash {
                 id: crash.id,
@@ -119,12 +119,12 @@
 
 /// Guards against a row by another writer whose bytes happen to decode.
 fn is_own(held: &HeldRow, key: &str) -> bool {
-    key_of(held.call) == key
+    held_row_key(held.call) == key
 }
 
 /// The key of the row of `call`.
 #[must_use]
-pub fn key_of(call: CallIdentity) -> String {
+pub fn held_row_key(call: CallIdentity) -> String {
     format!("{KEY_PREFIX}{call}")
 }
 
@@ -139,21 +139,23 @@
 
 impl MeshShared {
     /// Takes over rows that were read.
-    pub fn take_held_rows<'a>(&self, rows: impl Iterator<Item = &'a StoreRow>) {
+    pub fn merge_held_rows<'a>(&self, rows: impl Iterator<Item = &'a StoreRow>) {
         for row in rows.filter(|row| is_held_key(&row.key)) {
-            let Some(held) = HeldRow::read(row) else {
+            let Some(held) = HeldRow::decode(row) else {
                 continue;
             };
-            let is_remembered = self.quarantine.hear_row(&held);
+            let is_remembered = self.quarantine.merge_row(&held);
             if !is_remembered && self.members.is_source() {
-                self.members.rows.want(RowChange::Remove(key_of(held.call)));
+                self.members
+                    .rows
+                    .want(RowChange::Remove(held_row_key(held.call)));
             }
         }
     }
 
     /// Has the rows of calls of which there is news written or removed, if this
     /// daemon asks the store for the fleet.
-    pub(crate) fn see_to_held_rows(&self, calls: &[CallIdentity]) {
+    pub(crate) fn update_held_rows(&self, calls: &[CallIdentity]) {
         if !self.members.is_source() {
             return;
         }
@@ -175,11 +177,11 @@
     clock: &ClockReading,
 ) -> Option<RowChange> {
     if record.is_held() {
-        let held = HeldRow::of(call, record, clock);
+        let held = HeldRow::from_record(call, record, clock);
         let crashes = held.crashes.len();
         let is_news = written.insert(call, crashes) != Some(crashes);
         return is_news.then_some(RowChange::Hold(held));
     }
     let was_written = written.remove(&call).is_some();
-    was_written.then(|| RowChange::Remove(key_of(call)))
+    was_written.then(|| RowChange::Remove(held_row_key(call)))
 }
--- a/crates/mesh/src/ingress/mod.rs
+++ b/crates/mesh/src/ingress/mod.rs
@@ -24,7 +24,7 @@
 use crate::sockets;
 use crate::state::MeshShared;
 use crate::stop::CallMark;
-use crate::target::chunk;
+use crate::target::encode_chunk;
 use bodies::{identity_of, pump_body, read_body};
 
 /// Calls of one connection in work at once; more stay unread.
@@ -345,7 +345,7 @@
                 egress.pace(bytes, left.max(bytes), due).await;
                 left = left.saturating_sub(bytes);
                 if is_chunked {
-                    writer.write_all(&chunk(&piece)).await?;
+                    writer.write_all(&encode_chunk(&piece)).await?;
                 } else {
                     writer.write_all(&piece).await?;
                 }
--- a/crates/mesh/src/messages/hosts.rs
+++ b/crates/mesh/src/messages/hosts.rs
@@ -67,7 +67,7 @@
         match self {
             RowChange::Write(address) => address.id.clone(),
             RowChange::Remove(id) => id.clone(),
-            RowChange::Hold(held) => held_rows::key_of(held.call),
+            RowChange::Hold(held) => held_rows::held_row_key(held.call),
         }
     }
 }
--- a/crates/mesh/src/news.rs
+++ b/crates/mesh/src/news.rs
@@ -278,7 +278,7 @@
             }
         }
         LinkMessage::HostsChanged(changes) => shared.take_changes(changes, from),
-        LinkMessage::Suspects(calls) => shared.quarantine.hear(&calls, from),
+        LinkMessage::Suspects(calls) => shared.quarantine.merge_suspects(&calls, from),
         LinkMessage::Rollouts(news) => shared.hear_rollouts(&news, from),
         LinkMessage::VersionAge(told) => shared.hear_age(told, peer),
         LinkMessage::StoreClock {
--- a/crates/mesh/src/organisations/mod.rs
+++ b/crates/mesh/src/organisations/mod.rs
@@ -99,12 +99,12 @@
             next_ask: Cell::new(0),
             counts: OrganisationCounts::default(),
         };
-        desk.set_terms(settings);
+        desk.apply_settings(settings);
         Rc::new(desk)
     }
 
     /// Takes over changed settings.
-    pub fn set_terms(&self, settings: &MeshSettings) {
+    pub fn apply_settings(&self, settings: &MeshSettings) {
         let within = settings.withdrawal.map(|terms| terms.within);
         self.withdrawn_within.set(within);
     }
--- a/crates/mesh/src/quarantine.rs
+++ b/crates/mesh/src/quarantine.rs
@@ -62,7 +62,7 @@
 }
 
 impl AgedCrash {
-    fn of(crash: &TargetCrash, now: Instant) -> AgedCrash {
+    fn from_crash(crash: &TargetCrash, now: Instant) -> AgedCrash {
         AgedCrash {
             id: crash.id,
             began_ago_ms: age_ms(crash.began, now),
@@ -82,12 +82,12 @@
 impl SuspectCall {
     /// What `record` says of `call`, in ages at `now`.
     #[must_use]
-    pub fn of(call: CallIdentity, record: &CallRecord, now: Instant) -> SuspectCall {
+    pub fn from_record(call: CallIdentity, record: &CallRecord, now: Instant) -> SuspectCall {
         SuspectCall {
             call,
             crashes: record
                 .crashes()
-                .map(|crash| AgedCrash::of(crash, now))
+                .map(|crash| AgedCrash::from_crash(crash, now))
                 .collect(),
             cleared_ago_ms: record.cleared().map(|at| age_ms(at, now)),
             probe_started_ago_ms: record.probe_started().map(|at| age_ms(at, now)),
@@ -146,7 +146,7 @@
 
     /// Notes that the target beside this daemon ended while it ran `call`,
     /// begun at `began`; the mark for the call's own daemon.
-    pub fn target_ended(&self, call: CallIdentity, began: Instant) -> AgedCrash {
+    pub fn record_crash(&self, call: CallIdentity, began: Instant) -> AgedCrash {
         let now = self.clock.now();
         let crash = TargetCrash {
             id: rand::random(),
@@ -154,18 +154,18 @@
             ended: now,
         };
         self.note(call, &CallRecord::from_crash(crash), "target");
-        AgedCrash::of(&crash, now)
+        AgedCrash::from_crash(&crash, now)
     }
 
     /// Takes over the mark that came with the reply to `call`.
-    pub fn hear_crash(&self, call: CallIdentity, crash: AgedCrash) {
+    pub fn merge_crash(&self, call: CallIdentity, crash: AgedCrash) {
         if let Some(crash) = crash.to_crash(self.clock.now()) {
             self.note(call, &CallRecord::from_crash(crash), "reply");
         }
     }
 
     /// Takes over what daemon `from` tells.
-    pub fn hear(&self, calls: &[SuspectCall], from: &str) {
+    pub fn merge_suspects(&self, calls: &[SuspectCall], from: &str) {
         let now = self.clock.now();
         for told in calls.iter().take(MOST_TOLD) {
             let change = self.note(told.call, &told.record(now), from);
@@ -176,8 +176,8 @@
     }
 
     /// Takes over a row of the store, unless it is long over; whether it is not.
-    pub fn hear_row(&self, held: &HeldRow) -> bool {
-        let record = held.record(&self.clock.reading());
+    pub fn merge_row(&self, held: &HeldRow) -> bool {
+        let record = held.to_record(&self.clock.reading());
         if is_expired(&record, self.clock.now()) {
             return false;
         }
@@ -198,7 +198,7 @@
 
     /// Takes all rows for lost; the calls whose rows may have to be written again.
     #[must_use]
-    pub fn forget_rows(&self) -> Vec<CallIdentity> {
+    pub fn forget_written_rows(&self) -> Vec<CallIdentity> {
         self.written.borrow_mut().clear();
         let table = self.table.borrow();
         table.suspects().into_iter().map(|(call, _)| call).collect()
@@ -243,7 +243,7 @@
     }
 
     /// Notes that a target ran `call` and answered in full.
-    pub fn ran_well(&self, call: CallIdentity) {
+    pub fn record_success(&self, call: CallIdentity) {
         if !self.is_used.get() {
             return;
         }
@@ -320,7 +320,7 @@
             .suspects()
             .into_iter()
             .take(MOST_TOLD)
-            .map(|(call, record)| SuspectCall::of(call, record, now))
+            .map(|(call, record)| SuspectCall::from_record(call, record, now))
             .collect();
         (!calls.is_empty()).then_some(LinkMessage::Suspects(calls))
     }
@@ -340,7 +340,7 @@
         }
         calls
             .into_iter()
-            .filter_map(|call| Some(SuspectCall::of(call, table.record(call)?, now)))
+            .filter_map(|call| Some(SuspectCall::from_record(call, table.record(call)?, now)))
             .collect()
     }
 }
@@ -358,7 +358,7 @@
 }
 
 /// Tells other daemons what is new. Runs for ever.
-pub async fn keep_told(shared: Rc<MeshShared>) {
+pub async fn send_updates(shared: Rc<MeshShared>) {
     loop {
         shared.quarantine.has_untold.notified().await;
         tokio::time::sleep(GATHER).await;
@@ -374,7 +374,7 @@
     }
     if circle == ToldCircle::All {
         let news: Vec<CallIdentity> = calls.iter().map(|told| told.call).collect();
-        shared.see_to_held_rows(&news);
+        shared.update_held_rows(&news);
     }
     let message = LinkMessage::Suspects(calls);
     shared.peers.broadcast_to(most, &encode(&message));
--- a/crates/mesh/src/reload.rs
+++ b/crates/mesh/src/reload.rs
@@ -61,9 +61,9 @@
         settings.service,
         settings.target
     );
-    shared.gate.set_terms(settings.target, &settings.times);
+    shared.gate.apply_settings(settings.target, &settings.times);
     shared.egress.set_rate(settings.link.mbps);
-    shared.organisations.set_terms(&settings);
+    shared.organisations.apply_settings(&settings);
     let address = shared.own_address();
     *shared.settings.borrow_mut() = Rc::new(settings);
     shared.members.changed.notify_one();
--- a/crates/mesh/src/rollouts/spread.rs
+++ b/crates/mesh/src/rollouts/spread.rs
@@ -65,8 +65,8 @@
             sequence,
             zone: settings.zone.clone(),
             known: self.rollouts.known_step(&status.service),
-            is_open: self.gate.would_take(),
-            at_work: self.gate.in_work(),
+            is_open: self.gate.accepts_calls(),
+            at_work: self.gate.calls_in_progress(),
             software: status.software,
             service: status.service,
             kinds,
@@ -112,7 +112,7 @@
 pub async fn keep_gate(shared: Rc<MeshShared>) {
     loop {
         shared.rollouts.stage_changed.notified().await;
-        shared.gate.rollout_changed();
+        shared.gate.apply_rollout_change();
     }
 }
 
--- a/crates/mesh/src/serve_peers/news.rs
+++ b/crates/mesh/src/serve_peers/news.rs
@@ -161,7 +161,9 @@
             None
         }
         LinkMessage::Suspects(calls) => {
-            shared.quarantine.hear(&calls, "a daemon linked here");
+            shared
+                .quarantine
+                .merge_suspects(&calls, "a daemon linked here");
             None
         }
         LinkMessage::Rollouts(news) => {
--- a/crates/mesh/src/shell.rs
+++ b/crates/mesh/src/shell.rs
@@ -163,9 +163,9 @@
         Rc::clone(shared),
         listeners.peers,
     )));
-    spawn(Box::pin(Rc::clone(&shared.gate).keep_settled()));
+    spawn(Box::pin(Rc::clone(&shared.gate).run_queue_expiry()));
     spawn(Box::pin(status::keep_told(Rc::clone(shared))));
-    spawn(Box::pin(quarantine::keep_told(Rc::clone(shared))));
+    spawn(Box::pin(quarantine::send_updates(Rc::clone(shared))));
     spawn(Box::pin(rollouts::spread::keep_told(Rc::clone(shared))));
     spawn(Box::pin(rollouts::spread::keep_gate(Rc::clone(shared))));
     spawn(Box::pin(rollouts::spread::keep_counted(Rc::clone(shared))));
--- a/crates/mesh/src/state.rs
+++ b/crates/mesh/src/state.rs
@@ -119,8 +119,8 @@
             before.unwrap_or_default()
         );
         self.rollouts.store_came_back();
-        let held = self.quarantine.forget_rows();
-        self.see_to_held_rows(&held);
+        let held = self.quarantine.forget_written_rows();
+        self.update_held_rows(&held);
     }
 
     /// The version in force, compiled.
--- a/crates/mesh/src/status.rs
+++ b/crates/mesh/src/status.rs
@@ -32,7 +32,7 @@
     loop {
         tokio::select! {
             () = tokio::time::sleep(load_pause(shared.peers.watchers())) => {}
-            () = shared.gate.changed.notified() => {}
+            () = shared.gate.status_changed.notified() => {}
         }
         let status = shared.gate.status();
         let zone = shared.settings.borrow().zone.clone();
--- a/crates/mesh/src/stop.rs
+++ b/crates/mesh/src/stop.rs
@@ -139,7 +139,7 @@
         "event=stop_closing misses={} calls={} at_target={}",
         stop.misses.get(),
         stop.calls.get(),
-        shared.gate.in_work()
+        shared.gate.calls_in_progress()
     );
     let closing = clock.now();
     // Guards against a daemon that is ended by force: the store's word on the
@@ -147,7 +147,7 @@
     // they took longer than the grace time when the store was silent.
     let row = async {
         // The host goes with its target: nobody is to look for it any more.
-        if shared.gate.has_left() {
+        if shared.gate.is_leaving() {
             rows::part(&shared).await;
         }
     };
@@ -155,7 +155,7 @@
         loop {
             tokio::time::sleep(CHECK_EVERY).await;
             let quiet_since = stop.last_call.get().unwrap_or(closing).max(closing);
-            let is_idle = stop.calls.get() == 0 && shared.gate.in_work() == 0;
+            let is_idle = stop.calls.get() == 0 && shared.gate.calls_in_progress() == 0;
             if is_idle && clock.now() >= quiet_since + QUIET {
                 break;
             }
@@ -171,7 +171,7 @@
     log::info!(
         "event=stopped calls={} at_target={}",
         stop.calls.get(),
-        shared.gate.in_work()
+        shared.gate.calls_in_progress()
     );
     Ok(())
 }
--- a/crates/mesh/src/target.rs
+++ b/crates/mesh/src/target.rs
@@ -264,7 +264,11 @@
         .await
         .map_err(|_| ExchangeEnd::Lost("call body broken off"))?
     {
-        let framed = if is_chunked { chunk(&piece) } else { piece };
+        let framed = if is_chunked {
+            encode_chunk(&piece)
+        } else {
+            piece
+        };
         writer.write_all(&framed).await.map_err(failed)?;
     }
     if is_chunked {
@@ -275,7 +279,7 @@
 
 /// A piece of a body as one chunk.
 #[must_use]
-pub fn chunk(piece: &[u8]) -> Bytes {
+pub fn encode_chunk(piece: &[u8]) -> Bytes {
     let mut framed = format!("{:x}\r\n", piece.len()).into_bytes();
     framed.extend_from_slice(piece);
     framed.extend_from_slice(b"\r\n");
--- a/crates/mesh/tests/quarantine_cases.rs
+++ b/crates/mesh/tests/quarantine_cases.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant, SystemTime};
 
-use filbert_mesh::held_rows::{key_of, HeldRow};
+use filbert_mesh::held_rows::{held_row_key, HeldRow};
 use filbert_mesh::messages::{encode, LinkMessage};
 use filbert_mesh::quarantine::SuspectCall;
 use filbert_platform::store::StoreRow;
@@ -42,7 +42,7 @@
     let calls = (0..UNDER_WAY)
         .map(|number| {
             let record = CallRecord::from_crash(crash(u64::MAX - number, now));
-            SuspectCall::of(call(number), &record, now + Duration::from_millis(40))
+            SuspectCall::from_record(call(number), &record, now + Duration::from_millis(40))
         })
         .collect();
     let bytes = encode(&LinkMessage::Suspects(calls)).len();
@@ -73,16 +73,16 @@
     });
     let written_at = now + Duration::from_mins(1);
     let record = CallRecord::new(crashes.to_vec(), None, None);
-    let row = HeldRow::of(call(0), &record, &clock(written_at, 10_000));
+    let row = HeldRow::from_record(call(0), &record, &clock(written_at, 10_000));
     let stored = StoreRow {
-        key: key_of(call(0)),
+        key: held_row_key(call(0)),
         value: Some(row.value()),
         version: 1,
     };
-    let read = HeldRow::read(&stored).expect("a row of a call");
+    let read = HeldRow::decode(&stored).expect("a row of a call");
     assert_eq!(read, row);
     let wall_s = 10_000_u64.saturating_add_signed(reader_ahead_s);
-    let known = read.record(&clock(written_at, wall_s));
+    let known = read.to_record(&clock(written_at, wall_s));
     assert_eq!(known.strikes(), 3);
     assert!(known.is_held());
 }
@@ -96,5 +96,5 @@
         value: Some(value.to_vec()),
         version: 1,
     };
-    assert_eq!(HeldRow::read(&row), None);
+    assert_eq!(HeldRow::decode(&row), None);
 }
