--- a/crates/mesh/src/gate/end.rs
+++ b/crates/mesh/src/gate/end.rs
@@ -1,4 +1,5 @@
-//! Whether the target has ended, and under which calls.
+//! Detects that the target has ended, and records crashes of it for the
+//! quarantine.
 
 use std::io::ErrorKind;
 use std::rc::Rc;
@@ -9,29 +10,31 @@
 use super::Gate;
 use crate::quarantine::AgedCrash;
 
-/// Shortest time for which a target that took no connection is left alone,
-/// unless it reports. A live one reports soon; each try at a dead one costs a
-/// call the time of a connection that is not made.
-const DOWN_PAUSE: Duration = Duration::from_millis(500);
+/// Shortest time for which no call is sent to a target that accepted no
+/// connection, unless the target reports before. A live target reports soon;
+/// each call that is sent to a dead one loses the time of a failed connect.
+const MIN_DOWN_TIME: Duration = Duration::from_millis(500);
 
 impl Gate {
-    /// Leaves a target alone that took no connection; how long, unless it
-    /// reports.
+    /// Marks the target as down after a failed connect, and drops the pooled
+    /// connections. Returns how long the target stays down unless it reports.
     pub(super) fn mark_down(&self) -> Duration {
-        let pause = self.report_every.get().max(DOWN_PAUSE);
-        self.state.borrow_mut().down_until = Some(self.clock.now() + pause);
+        let down_time = self.report_interval.get().max(MIN_DOWN_TIME);
+        self.state.borrow_mut().down_until = Some(self.clock.now() + down_time);
         self.connections.clear();
         self.status_changed.notify_waiters();
-        pause
+        down_time
     }
 
-    /// Marks `call`, whose run began at `began` and was broken off, if the
-    /// target has ended.
+    /// Records a crash under `call`, whose run started at `began` and was broken
+    /// off, if the target has ended. Returns the crash for the daemon that sent
+    /// the call; `None` if the target is still up or is leaving.
     ///
-    /// A lost answer and a target that ended look alike on the connection; only
-    /// the latter takes no new one. An end that was planned says nothing about
-    /// the calls that were cut by it.
-    pub(super) async fn mark_if_ended(
+    /// On the connection, a lost answer and a crash look alike, so this connects
+    /// again: only a target that has ended refuses, or doesn't answer in time. A
+    /// target that is leaving ends as planned, which is no evidence against the
+    /// calls that it was running.
+    pub(super) async fn record_crash_if_ended(
         &self,
         call: CallIdentity,
         began: Instant,
@@ -41,7 +44,7 @@
         }
         let is_up = match self
             .connections
-            .check(self.address.get(), &self.clock)
+            .check_accepts(self.address.get(), &self.clock)
             .await
         {
             Ok(()) => true,
@@ -57,9 +60,10 @@
         Some(self.quarantine.record_crash(call, began))
     }
 
-    /// The same for a run whose answer had begun; nobody waits for the mark.
-    pub(super) fn mark_later(self: &Rc<Self>, call: CallIdentity, began: Instant) {
+    /// Does the same as `record_crash_if_ended` in the background, for a
+    /// run whose answer had already begun: its caller doesn't wait for the crash.
+    pub(super) fn record_crash_in_background(self: &Rc<Self>, call: CallIdentity, began: Instant) {
         let gate = Rc::clone(self);
-        tokio::task::spawn_local(async move { gate.mark_if_ended(call, began).await });
+        tokio::task::spawn_local(async move { gate.record_crash_if_ended(call, began).await });
     }
 }
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -1,5 +1,8 @@
-//! The only way to the target beside the daemon: holds the queue, the slots
-//! and what is known of the target, and runs calls there.
+//! Admission gate of the local target, the target on the daemon's own host.
+//!
+//! All calls to the local target pass the gate. It queues them, limits how many
+//! run at a time to the target's slots, runs them, and tracks the target's
+//! instance, health and run times.
 
 mod end;
 mod run;
@@ -29,60 +32,65 @@
 use crate::quarantine::SharedQuarantine;
 use crate::rollouts::RolloutBook;
 use crate::settings::{MeshSettings, TimeSettings};
-use crate::target::TargetConnections;
+use crate::target::TargetConnectionPool;
 pub use wait::RunPermit;
 
-/// Part of the draining time after which a leaving target gets no more calls.
-/// The rest covers a call that is on its way through the daemon.
-const DRAIN_SHARE: f64 = 0.5;
+/// Fraction of the drain time during which a leaving target still accepts calls.
+/// The rest is for calls that are still on their way through the daemon.
+const DRAIN_ACCEPT_FRACTION: f64 = 0.5;
 
 struct GateState {
     queue: AdmissionQueue,
     health: TargetHealth,
-    times: RunTimeEstimator,
+    run_times: RunTimeEstimator,
     tracker: InstanceTracker,
     waiters: HashMap<WaitTicket, oneshot::Sender<Result<(), Duration>>>,
+    /// End of the time in which no call is sent to a target that accepted no
+    /// connection; a report of the target ends it early.
     down_until: Option<Instant>,
-    /// Calls that started, by number.
-    started: HashMap<u64, StartedRun>,
+    /// Runs in progress by run number.
+    active_runs: HashMap<u64, ActiveRun>,
     next_run: u64,
 }
 
-/// A run under way.
+/// A run in progress.
 #[derive(Clone, Copy)]
-struct StartedRun {
+struct ActiveRun {
     call: CallIdentity,
-    at: Instant,
-    /// How long it was expected to take.
+    started_at: Instant,
+    /// Expected run time of the call.
     expected: Duration,
 }
 
-/// The gate of the target beside the daemon.
+/// The admission gate of the local target.
 pub struct Gate {
     state: RefCell<GateState>,
-    connections: Rc<TargetConnections>,
+    connections: Rc<TargetConnectionPool>,
     quarantine: Rc<SharedQuarantine>,
     rollouts: Rc<RolloutBook>,
-    /// This host's name.
+    /// Name of this host.
     host: String,
     metrics: Rc<MeshMetrics>,
     egress: Rc<EgressPacer>,
-    /// Room for answers that are read ahead of their takers, in KiB.
-    ahead: Arc<Semaphore>,
+    /// Memory for answers that are read from the target faster than their
+    /// callers read them; one semaphore permit for each KiB.
+    answer_buffer_kib: Arc<Semaphore>,
     lines: LineBudget,
     clock: Rc<dyn Clock>,
     address: Cell<SocketAddr>,
-    drain: Cell<Duration>,
-    report_every: Cell<Duration>,
-    /// Set when the daemon itself is about to end.
+    drain_time: Cell<Duration>,
+    report_interval: Cell<Duration>,
+    /// Whether the daemon itself is stopping.
     is_stopping: Cell<bool>,
-    crowd: Notify,
-    /// Signals a change of the status that others must learn at once.
+    /// Signals that a call was queued.
+    call_queued: Notify,
+    /// Signals a change of [`Gate::status`] that other daemons must learn at once.
     pub status_changed: Notify,
 }
 
 impl Gate {
-    /// A gate with no target yet.
+    /// Creates a gate without a target; it is closed until the target's first
+    /// report.
     #[must_use]
     pub fn new(
         settings: &MeshSettings,
@@ -96,58 +104,60 @@
             state: RefCell::new(GateState {
                 queue: AdmissionQueue::new(QueueLimits::default()),
                 health: TargetHealth::default(),
-                times: RunTimeEstimator::default(),
+                run_times: RunTimeEstimator::default(),
                 tracker: InstanceTracker::default(),
                 waiters: HashMap::new(),
                 down_until: None,
-                started: HashMap::new(),
+                active_runs: HashMap::new(),
                 next_run: 0,
             }),
-            connections: Rc::new(TargetConnections::default()),
+            connections: Rc::new(TargetConnectionPool::default()),
             quarantine,
             rollouts,
             host: settings.id.clone(),
             metrics,
             egress,
-            ahead: Arc::new(Semaphore::new(MOST_AHEAD_KIB)),
+            answer_buffer_kib: Arc::new(Semaphore::new(MOST_AHEAD_KIB)),
             lines: LineBudget::new(clock.now()),
             clock,
             address: Cell::new(settings.target),
-            drain: Cell::new(settings.times.drain),
-            report_every: Cell::new(settings.times.report_every),
+            drain_time: Cell::new(settings.times.drain),
+            report_interval: Cell::new(settings.times.report_every),
             is_stopping: Cell::new(false),
-            crowd: Notify::new(),
+            call_queued: Notify::new(),
             status_changed: Notify::new(),
         })
     }
 
-    /// Takes over changed settings.
+    /// Applies reloaded settings: the target's address and the time limits.
     pub fn apply_settings(&self, address: SocketAddr, times: &TimeSettings) {
         self.address.set(address);
-        self.drain.set(times.drain);
-        self.report_every.set(times.report_every);
+        self.drain_time.set(times.drain);
+        self.report_interval.set(times.report_every);
     }
 
-    /// Closes the gate for good: the daemon is about to end.
+    /// Closes the gate for good, as the daemon is stopping.
     pub fn stop(&self) {
         self.is_stopping.set(true);
         self.status_changed.notify_waiters();
     }
 
-    /// Calls at the target or waiting for it.
+    /// Returns the number of calls that run at the target or wait for it.
     #[must_use]
     pub fn calls_in_progress(&self) -> u32 {
         let state = self.state.borrow();
         state.queue.running() + state.queue.waiting()
     }
 
-    /// Whether the target said that it leaves.
+    /// Returns whether the target announced that it is leaving.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.state.borrow().tracker.leaving_since().is_some()
     }
 
-    /// Takes a report of the target.
+    /// Handles a report of the target. A report of a new instance resets the
+    /// health and the run times, and drops the connections to the old one. Any
+    /// report that is not stale sets the slots and ends the down time.
     pub fn report(&self, report: InstanceReport) -> InstanceChange {
         let now = self.clock.now();
         let slots = report.slots;
@@ -158,7 +168,7 @@
                 InstanceChange::Stale => {}
                 InstanceChange::Replaced => {
                     state.health = TargetHealth::default();
-                    state.times = RunTimeEstimator::default();
+                    state.run_times = RunTimeEstimator::default();
                     state.queue.set_slots(slots);
                     state.down_until = None;
                 }
@@ -179,7 +189,7 @@
         change
     }
 
-    /// Takes a farewell of the target.
+    /// Handles the announcement of instance `key` that it is leaving.
     pub fn leave(&self, key: &InstanceKey) -> InstanceChange {
         let now = self.clock.now();
         let change = self.state.borrow_mut().tracker.leave(key, now);
@@ -189,8 +199,8 @@
         change
     }
 
-    /// Takes word of peers that instance `key` was leaving before this daemon
-    /// started.
+    /// Marks instance `key` as leaving since before this daemon started, as peers
+    /// told.
     pub fn mark_left_before_restart(&self, key: &InstanceKey) {
         let now = self.clock.now();
         self.state
@@ -200,34 +210,35 @@
         self.status_changed.notify_waiters();
     }
 
-    /// The target's state as a roll-out lets it be: a version that takes no
-    /// calls now is closed to all.
+    /// Returns the target's state with roll-outs taken into account: a target
+    /// whose software version a roll-out gives no calls now is closed.
     fn target_state(&self, state: &GateState, now: Instant) -> TargetState {
         let is_admitted = state.tracker.current().is_some_and(|report| {
             self.rollouts
                 .admits(&report.service, &report.software, &self.host)
         });
         if is_admitted {
-            self.own_state(state, now)
+            self.state_without_rollouts(state, now)
         } else {
             TargetState::Closed
         }
     }
 
-    /// Whether the target takes calls, but for what a roll-out says.
+    /// Returns whether the target is open, leaving roll-outs out of account.
     #[must_use]
     pub fn accepts_calls(&self) -> bool {
-        self.own_state(&self.state.borrow(), self.clock.now()) == TargetState::Open
+        self.state_without_rollouts(&self.state.borrow(), self.clock.now()) == TargetState::Open
     }
 
-    /// Takes word that a roll-out is at another stage: calls that wait for a
-    /// target that is closed now are turned away, and others hear of it.
+    /// Applies a roll-out's change of stage: declines the calls that wait if the
+    /// target is closed now, and signals the change of status.
     pub fn apply_rollout_change(&self) {
         self.dispatch();
         self.status_changed.notify_waiters();
     }
 
-    fn own_state(&self, state: &GateState, now: Instant) -> TargetState {
+    /// The target's state without regard to roll-outs.
+    fn state_without_rollouts(&self, state: &GateState, now: Instant) -> TargetState {
         let is_down = state.down_until.is_some_and(|until| now < until);
         if self.is_stopping.get() || is_down || state.tracker.current().is_none() {
             return TargetState::Closed;
@@ -235,14 +246,15 @@
         match state.tracker.leaving_since() {
             None => TargetState::Open,
             Some(_) if state.tracker.is_gone() => TargetState::Closed,
-            Some(since) if now < since + self.drain.get().mul_f64(DRAIN_SHARE) => {
+            Some(since) if now < since + self.drain_time.get().mul_f64(DRAIN_ACCEPT_FRACTION) => {
                 TargetState::Leaving
             }
             Some(_) => TargetState::Closed,
         }
     }
 
-    /// The target as others should know it; `None` before its first report.
+    /// Returns the target's status, as sent to other daemons; `None` before the
+    /// target's first report.
     #[must_use]
     pub fn status(&self) -> Option<TargetStatus> {
         let state = self.state.borrow();
@@ -254,42 +266,43 @@
             instance: report.key.clone(),
             state: self.target_state(&state, now),
             is_cold: state.tracker.is_cold(now),
-            load: self.load_of(&state, now),
+            load: self.load_at(&state, now),
         })
     }
 
     fn load(&self) -> TargetLoad {
-        self.load_of(&self.state.borrow(), self.clock.now())
+        self.load_at(&self.state.borrow(), self.clock.now())
     }
 
-    fn load_of(&self, state: &GateState, now: Instant) -> TargetLoad {
+    fn load_at(&self, state: &GateState, now: Instant) -> TargetLoad {
         const KIB: u64 = 1024;
         let millis = |time: Duration| time.as_secs_f64() * 1_000.0;
         TargetLoad {
             slots: state.queue.slots(),
             running: state.queue.running(),
             waiting: state.queue.waiting(),
-            run_ms: millis(turn_time(state, now)),
-            slowdown: state.times.slowdown(),
+            run_ms: millis(mean_run_time(state, now)),
+            slowdown: state.run_times.slowdown(),
             failure_rate: state.health.failure_rate(),
             link_ms: millis(self.egress.backlog()),
             link_ms_per_kib: millis(self.egress.transmission_time(KIB)),
         }
     }
 
-    fn record(&self, sign: RunOutcome) {
-        self.state.borrow_mut().health.record(sign);
+    fn record_outcome(&self, outcome: RunOutcome) {
+        self.state.borrow_mut().health.record(outcome);
     }
 
-    /// How long a run of `call` is expected to take here.
+    /// Estimates the run time of `call` at the local target.
     #[must_use]
-    pub fn expected_run(&self, call: &CallHead) -> RunTime {
+    pub fn estimate_run_time(&self, call: &CallHead) -> RunTime {
         let usual = call.usual_run.map(RunTime::from);
-        self.state.borrow().times.expect(&call.kind, usual)
+        self.state.borrow().run_times.expect(&call.kind, usual)
     }
 
-    /// Time that the answer to `call` over the host's link would need, beyond
-    /// its run.
+    /// Returns the time that the answer to `call` would need on this host's link:
+    /// its queueing delay, less the part that passes during the run, and its
+    /// transmission time.
     #[must_use]
     pub fn link_time(&self, call: &CallHead) -> LinkTime {
         let bytes = call.answer_bytes;
@@ -297,32 +310,33 @@
             wait: self
                 .egress
                 .queueing_delay(bytes)
-                .saturating_sub(self.expected_run(call).mean),
+                .saturating_sub(self.estimate_run_time(call).mean),
             send: self.egress.transmission_time(bytes),
         }
     }
 }
 
-/// Mean time that the runs under way are expected to take; of all runs when
-/// there is none. Raised by runs that already take longer: a target that turned
-/// slow shows it before its slow runs end.
-fn turn_time(state: &GateState, now: Instant) -> Duration {
-    /// Part of its expected time by which a run is overdue.
-    const OVERDUE: f64 = 2.0;
-    if state.started.is_empty() {
-        return state.times.mean();
+/// Mean run time of the runs in progress, or of past runs if there are none.
+///
+/// A run counts with its expected time, and with its age so far once it is
+/// overdue. So a target that has become slow shows it before its slow runs end.
+fn mean_run_time(state: &GateState, now: Instant) -> Duration {
+    /// Multiple of its expected time from which a run is overdue.
+    const OVERDUE_FACTOR: f64 = 2.0;
+    if state.active_runs.is_empty() {
+        return state.run_times.mean();
     }
     let total: Duration = state
-        .started
+        .active_runs
         .values()
         .map(|run| {
-            let age = now.saturating_duration_since(run.at);
-            if age > run.expected.mul_f64(OVERDUE) {
+            let age = now.saturating_duration_since(run.started_at);
+            if age > run.expected.mul_f64(OVERDUE_FACTOR) {
                 age
             } else {
                 run.expected
             }
         })
         .sum();
-    total.div_f64(count_to_f64(state.started.len()))
+    total.div_f64(count_to_f64(state.active_runs.len()))
 }
--- a/crates/mesh/src/gate/run.rs
+++ b/crates/mesh/src/gate/run.rs
@@ -1,4 +1,4 @@
-//! Running a call at the target, and what its end says.
+//! Runs an admitted call at the local target, and evaluates how the run ended.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -10,20 +10,22 @@
 use filbert_policy::run_times::RunTime;
 
 use super::wait::Declined;
-use super::{turn_time, Gate, StartedRun};
+use super::{mean_run_time, ActiveRun, Gate};
 use crate::body::{AheadBody, AnswerBody, CallBody};
 use crate::logging::LineWeight;
 use crate::messages::{micros, AnswerHead, CallHead, ReplyHead};
 use crate::quarantine::AgedCrash;
 use crate::rollouts::tally::{RunTold, RunWatch};
-use crate::target::{ExchangeEnd, ExchangeTerms};
+use crate::target::{ExchangeOutcome, ExchangeParams};
 
-/// From this status on an answer is the target's failure.
-const FIRST_FAILURE: u16 = 500;
+/// Lowest status code that counts as a failure of the target.
+const FIRST_FAILURE_STATUS: u16 = 500;
 
 impl Gate {
-    /// Runs a call at the target, after waiting for its turn.
-    /// `link` is the time that its answer needs on the host's link.
+    /// Waits for a slot at the target and runs a call there. Returns the reply for
+    /// the caller's daemon, and the body of the answer if the target gave one.
+    ///
+    /// `link` is the time that the answer needs on this host's link.
     pub async fn run(
         self: &Rc<Self>,
         call: &CallHead,
@@ -31,26 +33,29 @@
         link: LinkTime,
     ) -> (ReplyHead, AnswerBody) {
         let received = self.clock.now();
-        let demand = AdmissionRequest {
+        let request = AdmissionRequest {
             priority: call.priority,
             soft_deadline: received + Duration::from_micros(call.aim_us),
             deadline: received + Duration::from_micros(call.left_us),
-            run: self.expected_run(call),
+            run: self.estimate_run_time(call),
             link,
         };
         let none = AnswerBody::Whole(bytes::Bytes::new());
-        if let Some(reply) = self.hold_back(call) {
+        if let Some(reply) = self.refuse_held(call) {
             return (reply, none);
         }
-        let permit = match self.admit(call, demand).await {
+        let permit = match self.admit(call, request).await {
             Ok(permit) => permit,
             Err(declined) => {
-                self.note_declined(call, received, declined);
-                return (self.declined(declined), none);
+                self.record_decline(call, received, declined);
+                return (self.decline_reply(declined), none);
             }
         };
-        // It may have come to be held back while it waited.
-        if let Some(reply) = self.hold_back(call).or_else(|| self.keep_apart(call)) {
+        // The call may have become held, or a suspect, while it waited.
+        if let Some(reply) = self
+            .refuse_held(call)
+            .or_else(|| self.decline_second_suspect(call))
+        {
             return (reply, none);
         }
         let instance = match self.state.borrow().tracker.current() {
@@ -59,15 +64,15 @@
         };
         let started = self.clock.now();
         let watch = self.watch(call);
-        let terms = ExchangeTerms {
+        let params = ExchangeParams {
             address: self.address.get(),
             instance: &instance,
-            left: demand.deadline.saturating_duration_since(started),
+            remaining: request.deadline.saturating_duration_since(started),
             permit,
         };
-        let end = self
+        let outcome = self
             .connections
-            .exchange(call, body, terms, &self.clock)
+            .exchange(call, body, params, &self.clock)
             .await;
         let run = CallRun {
             call,
@@ -75,14 +80,15 @@
             received,
             started,
         };
-        let (reply, body, told) = self.reply(&run, end).await;
+        let (reply, body, told) = self.evaluate(&run, outcome).await;
         if let Some(watch) = watch {
             watch.end(told);
         }
         (reply, body)
     }
 
-    /// Watches a run for a roll-out of the target's service.
+    /// Starts counting the run for the roll-out of the target's service; `None` if
+    /// there is no roll-out.
     fn watch(&self, call: &CallHead) -> Option<RunWatch> {
         self.rollouts.is_watching(&call.service).then(|| {
             let usual = call.usual_run.map(|usual| RunTime::from(usual).mean);
@@ -90,21 +96,26 @@
         })
     }
 
-    /// What the caller's daemon is told of an exchange.
-    async fn reply(&self, run: &CallRun<'_>, end: ExchangeEnd) -> (ReplyHead, AnswerBody, RunTold) {
+    /// Records how the run ended. Returns the reply for the caller's daemon, the
+    /// body of the answer, and what the run says of the target's version.
+    async fn evaluate(
+        &self,
+        run: &CallRun<'_>,
+        outcome: ExchangeOutcome,
+    ) -> (ReplyHead, AnswerBody, RunTold) {
         let none = AnswerBody::Whole(bytes::Bytes::new());
-        match end {
-            ExchangeEnd::Answer(head, body) => {
-                let took = self.clock.now().saturating_duration_since(run.started);
-                self.note_answer(run, &head, took);
-                let told = if head.status < FIRST_FAILURE {
+        match outcome {
+            ExchangeOutcome::Answer(head, body) => {
+                let time_to_head = self.clock.now().saturating_duration_since(run.started);
+                self.record_answer(run, &head, time_to_head);
+                let told = if head.status < FIRST_FAILURE_STATUS {
                     RunTold::Success
                 } else {
                     RunTold::Failure
                 };
                 let reply = ReplyHead::Answer {
                     head: answer_head(&head),
-                    ran_us: micros(took),
+                    ran_us: micros(time_to_head),
                     load: self.load(),
                 };
                 let is_short = head
@@ -114,71 +125,76 @@
                 let body = if is_short {
                     AnswerBody::Run(body)
                 } else {
-                    AnswerBody::Ahead(AheadBody::start(body, &self.ahead))
+                    AnswerBody::Ahead(AheadBody::start(body, &self.answer_buffer_kib))
                 };
                 (reply, body, told)
             }
-            ExchangeEnd::NotConnected(error) => {
-                let reply = self.note_unreachable(run, &error);
+            ExchangeOutcome::NotConnected(error) => {
+                let reply = self.record_unreachable(run, &error);
                 (reply, none, RunTold::Nothing)
             }
-            ExchangeEnd::Rejected(load) => {
-                self.note_ill(run, "rejected", &format!("stated load {load:?}"));
+            ExchangeOutcome::Rejected(load) => {
+                self.record_failure(run, "rejected", &format!("stated load {load:?}"));
                 let reply = ReplyHead::Rejected { load: self.load() };
                 (reply, none, RunTold::Nothing)
             }
-            ExchangeEnd::Lost(reason) => {
-                self.note_ill(run, "lost", reason);
-                (self.lost(None), none, RunTold::Failure)
+            ExchangeOutcome::Lost(reason) => {
+                self.record_failure(run, "lost", reason);
+                (self.lost_reply(None), none, RunTold::Failure)
             }
-            ExchangeEnd::BrokenOff(reason) => {
-                let ended = self.mark_if_ended(run.call.identity, run.started).await;
-                let (verdict, told) = if ended.is_some() {
+            ExchangeOutcome::ConnectionLost(reason) => {
+                let crash = self
+                    .record_crash_if_ended(run.call.identity, run.started)
+                    .await;
+                let (verdict, told) = if crash.is_some() {
                     ("target_ended", RunTold::Nothing)
                 } else {
                     ("lost", RunTold::Failure)
                 };
-                self.note_ill(run, verdict, reason);
-                (self.lost(ended), none, told)
+                self.record_failure(run, verdict, reason);
+                (self.lost_reply(crash), none, told)
             }
         }
     }
 
-    fn note_answer(&self, run: &CallRun<'_>, head: &ResponseHead, took: Duration) {
+    /// Records an answer whose head came `time_to_head` after the start of the run.
+    fn record_answer(&self, run: &CallRun<'_>, head: &ResponseHead, time_to_head: Duration) {
         self.metrics.gate("ran");
-        self.metrics.run(run.waited(), took);
+        self.metrics.run(run.waited(), time_to_head);
         {
             let mut state = self.state.borrow_mut();
-            if head.status < FIRST_FAILURE {
+            if head.status < FIRST_FAILURE_STATUS {
                 let usual = run.call.usual_run.map(RunTime::from);
-                state.times.record(&run.call.kind, usual, took);
+                state.run_times.record(&run.call.kind, usual, time_to_head);
                 state.health.record(RunOutcome::Success);
             } else {
                 state.health.record(RunOutcome::Failure);
             }
         }
-        if head.status >= FIRST_FAILURE {
-            self.say_run(run, "answered_failure", &format!("status {}", head.status));
+        if head.status >= FIRST_FAILURE_STATUS {
+            self.log_run(run, "answered_failure", &format!("status {}", head.status));
         }
     }
 
-    fn note_ill(&self, run: &CallRun<'_>, verdict: &'static str, reason: &str) {
+    fn record_failure(&self, run: &CallRun<'_>, verdict: &'static str, reason: &str) {
         self.metrics.gate(verdict);
-        self.record(RunOutcome::Failure);
-        self.say_run(run, verdict, reason);
+        self.record_outcome(RunOutcome::Failure);
+        self.log_run(run, verdict, reason);
     }
 
-    fn note_unreachable(&self, run: &CallRun<'_>, error: &std::io::Error) -> ReplyHead {
+    /// Records that the target accepted no connection. Returns the reply that
+    /// declines the call, as the target did not see it.
+    fn record_unreachable(&self, run: &CallRun<'_>, error: &std::io::Error) -> ReplyHead {
         self.metrics.gate("unreachable");
-        self.say_run(run, "unreachable", &error.to_string());
-        let pause = self.mark_down();
-        self.declined(Declined {
+        self.log_run(run, "unreachable", &error.to_string());
+        let down_time = self.mark_down();
+        self.decline_reply(Declined {
             reason: DeclineReason::Closed,
-            room_in: pause,
+            room_in: down_time,
         })
     }
 
-    fn say_run(&self, run: &CallRun<'_>, verdict: &str, reason: &str) {
+    fn log_run(&self, run: &CallRun<'_>, verdict: &str, reason: &str) {
         let now = self.clock.now();
         if self.lines.takes(LineWeight::Notable, now) {
             log::info!(
@@ -192,9 +208,10 @@
         }
     }
 
-    /// Lines on declines are bounded, as an overload declines hundreds of
-    /// calls a second; the caller's daemon writes a line on each attempt too.
-    fn note_declined(&self, call: &CallHead, received: Instant, declined: Declined) {
+    /// Counts and logs a declined call. The number of log lines is limited, as an
+    /// overloaded target declines hundreds of calls per second; the caller's daemon
+    /// logs each attempt too.
+    fn record_decline(&self, call: &CallHead, received: Instant, declined: Declined) {
         let now = self.clock.now();
         self.metrics.gate(match declined.reason {
             DeclineReason::Crowded => "crowded",
@@ -220,19 +237,20 @@
             call.left_us / 1_000,
             call.kind,
             call.priority,
-            self.expected_run(call).mean.as_millis()
+            self.estimate_run_time(call).mean.as_millis()
         );
     }
 
-    fn lost(&self, ended: Option<AgedCrash>) -> ReplyHead {
+    fn lost_reply(&self, ended: Option<AgedCrash>) -> ReplyHead {
         let load = self.load();
         ReplyHead::Lost { ended, load }
     }
 
-    /// Refuses a call that is held back: its own daemon may not have heard of it.
-    fn hold_back(&self, call: &CallHead) -> Option<ReplyHead> {
-        let left = self.quarantine.remaining_hold(call.identity);
-        if left.is_zero() {
+    /// Refuses a call that the quarantine holds back; `None` if the call may run.
+    /// The caller's daemon may not know of the hold yet.
+    fn refuse_held(&self, call: &CallHead) -> Option<ReplyHead> {
+        let remaining = self.quarantine.remaining_hold(call.identity);
+        if remaining.is_zero() {
             return None;
         }
         self.metrics.gate("held_back");
@@ -241,33 +259,34 @@
                 "event=gate_held_back request={} call={} left_ms={}",
                 call.id,
                 call.identity,
-                left.as_millis()
+                remaining.as_millis()
             );
         }
         Some(ReplyHead::HeldBack {
-            left_us: micros(left),
+            left_us: micros(remaining),
             load: self.load(),
         })
     }
 
-    /// Declines a suspect while another runs here: were the target to end, both
-    /// would be suspected of it again, and a bystander be held back.
-    fn keep_apart(&self, call: &CallHead) -> Option<ReplyHead> {
+    /// Declines a suspect while another suspect runs at the target; `None` if the
+    /// call may run. If the target crashed under two suspects, both would get a
+    /// strike, and the one that is a bystander could be held back.
+    fn decline_second_suspect(&self, call: &CallHead) -> Option<ReplyHead> {
         let is_suspect = |call| self.quarantine.is_suspect(call);
-        let is_beside = |run: &StartedRun| run.call != call.identity && is_suspect(run.call);
+        let is_other_suspect = |run: &ActiveRun| run.call != call.identity && is_suspect(run.call);
         let state = self.state.borrow();
-        if !is_suspect(call.identity) || !state.started.values().any(is_beside) {
+        if !is_suspect(call.identity) || !state.active_runs.values().any(is_other_suspect) {
             return None;
         }
-        let room_in = turn_time(&state, self.clock.now());
+        let room_in = mean_run_time(&state, self.clock.now());
         drop(state);
-        Some(self.declined(Declined {
+        Some(self.decline_reply(Declined {
             reason: DeclineReason::Crowded,
             room_in,
         }))
     }
 
-    fn declined(&self, declined: Declined) -> ReplyHead {
+    fn decline_reply(&self, declined: Declined) -> ReplyHead {
         ReplyHead::Declined {
             closed: crate::messages::is_closed(declined.reason),
             room_us: micros(declined.room_in),
@@ -276,7 +295,7 @@
     }
 }
 
-/// A call at the target.
+/// A call that was admitted and sent to the target.
 struct CallRun<'a> {
     call: &'a CallHead,
     instance: &'a str,
@@ -285,12 +304,14 @@
 }
 
 impl CallRun<'_> {
-    /// How long it waited for its turn.
+    /// Time that the call waited for a slot.
     fn waited(&self) -> Duration {
         self.started.saturating_duration_since(self.received)
     }
 }
 
+/// The head of the target's answer for the caller's daemon, without the headers
+/// that apply to one connection only.
 fn answer_head(head: &ResponseHead) -> AnswerHead {
     let mut lines = Vec::with_capacity(256);
     head.fields.write_end_to_end(&mut lines, |_| false);
--- a/crates/mesh/src/gate/wait.rs
+++ b/crates/mesh/src/gate/wait.rs
@@ -1,4 +1,4 @@
-//! Waiting for a turn at the target, and the right to be there.
+//! The gate's admission: calls wait for a free slot and get a [`RunPermit`].
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,13 +10,14 @@
 use filbert_policy::identity::CallIdentity;
 use tokio::sync::oneshot;
 
-use super::{turn_time, Gate, StartedRun};
+use super::{mean_run_time, ActiveRun, Gate};
 use crate::messages::{CallHead, TargetState};
 
-/// How often waiting calls are checked for having become too late.
-const SETTLE_EVERY: Duration = Duration::from_millis(25);
+/// Interval at which waiting calls that have become too late are declined.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(25);
 
-/// A call's right to be at the target. Dropping it ends the run.
+/// A call's slot at the target. Dropping the permit ends the run: it frees the
+/// slot for the next call.
 pub struct RunPermit {
     gate: Rc<Gate>,
     run: u64,
@@ -29,23 +30,26 @@
 }
 
 impl RunPermit {
-    /// Notes that the target broke the answer off.
-    pub fn broke_off(self) {
-        self.gate.record(RunOutcome::Failure);
-        if let Some(run) = self.started() {
-            self.gate.mark_later(run.call, run.at);
+    /// Ends the run as failed, as the target broke off its answer. Records a crash
+    /// in the background if the target has ended.
+    pub fn end_broken_off(self) {
+        self.gate.record_outcome(RunOutcome::Failure);
+        if let Some(run) = self.active_run() {
+            self.gate
+                .record_crash_in_background(run.call, run.started_at);
         }
     }
 
-    /// Notes that the target gave a whole answer that is no failure.
-    pub fn ended_well(self) {
-        if let Some(run) = self.started() {
+    /// Ends the run as successful, as the target gave a complete answer that is
+    /// no failure: clears the call in the quarantine.
+    pub fn end_successful(self) {
+        if let Some(run) = self.active_run() {
             self.gate.quarantine.record_success(run.call);
         }
     }
 
-    fn started(&self) -> Option<StartedRun> {
-        self.gate.state.borrow().started.get(&self.run).copied()
+    fn active_run(&self) -> Option<ActiveRun> {
+        self.gate.state.borrow().active_runs.get(&self.run).copied()
     }
 }
 
@@ -54,39 +58,40 @@
         {
             let mut state = self.gate.state.borrow_mut();
             state.queue.finish_run();
-            state.started.remove(&self.run);
+            state.active_runs.remove(&self.run);
         }
         self.gate.dispatch();
     }
 }
 
-/// Takes a waiting call back when its caller leaves.
+/// Removes a waiting call from the queue if its future is dropped, as when the
+/// caller leaves.
 ///
-/// Guards against a slot that is never freed: the queue may have started the
-/// call in the same moment, with nobody left to run it.
+/// The queue may have given the call a slot just before. The guard frees that
+/// slot, which would stay taken for good as nobody runs the call.
 struct WaitGuard<'a> {
     gate: &'a Gate,
     ticket: WaitTicket,
-    answer: oneshot::Receiver<Result<(), Duration>>,
-    is_heard: bool,
+    decision: oneshot::Receiver<Result<(), Duration>>,
+    is_received: bool,
 }
 
 impl WaitGuard<'_> {
     async fn outcome(mut self) -> Result<(), Duration> {
-        let answer = (&mut self.answer).await;
-        self.is_heard = true;
-        // The sender lives in the gate's table and is dropped only with an
-        // answer; without one there is nothing to wait for.
-        answer.unwrap_or(Err(Duration::ZERO))
+        let decision = (&mut self.decision).await;
+        self.is_received = true;
+        // The gate keeps the sender in `waiters` until it sends a decision. If the
+        // sender is dropped without one, none will come: the call is declined.
+        decision.unwrap_or(Err(Duration::ZERO))
     }
 }
 
 impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
-        if self.is_heard {
+        if self.is_received {
             return;
         }
-        let was_started = matches!(self.answer.try_recv(), Ok(Ok(())));
+        let was_started = matches!(self.decision.try_recv(), Ok(Ok(())));
         {
             let mut state = self.gate.state.borrow_mut();
             state.waiters.remove(&self.ticket);
@@ -101,34 +106,38 @@
     }
 }
 
-/// A call that was turned away.
+/// Why a call was declined, and when to retry.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Declined {
-    /// Why.
+    /// Why the gate declined the call.
     pub(super) reason: DeclineReason,
-    /// When room is expected.
+    /// Time until a slot is expected to be free for the call.
     pub(super) room_in: Duration,
 }
 
 impl Gate {
-    /// Waits until the call may run.
+    /// Waits for a slot at the target.
+    ///
+    /// # Errors
+    /// [`Declined`] if the target is closed or of another service, or if the call
+    /// would start too late.
     pub(super) async fn admit(
         self: &Rc<Self>,
         call: &CallHead,
-        demand: AdmissionRequest,
+        request: AdmissionRequest,
     ) -> Result<RunPermit, Declined> {
         let now = self.clock.now();
         let waiting = {
             let mut state = self.state.borrow_mut();
             let state = &mut *state;
-            let is_here = state
+            let has_service = state
                 .tracker
                 .current()
                 .is_some_and(|report| report.service == call.service);
-            let is_open = is_here && self.target_state(state, now) != TargetState::Closed;
+            let is_open = has_service && self.target_state(state, now) != TargetState::Closed;
             state.queue.set_open(is_open);
-            let turn = turn_time(state, now);
-            match state.queue.offer(demand, turn, now) {
+            let mean_run = mean_run_time(state, now);
+            match state.queue.offer(request, mean_run, now) {
                 AdmissionDecision::Run => None,
                 AdmissionDecision::Decline { reason, room_in } => {
                     return Err(Declined { reason, room_in })
@@ -140,78 +149,87 @@
                 }
             }
         };
-        if let Some((ticket, answer)) = waiting {
-            self.crowd.notify_one();
+        if let Some((ticket, decision)) = waiting {
+            self.call_queued.notify_one();
             let guard = WaitGuard {
                 gate: self,
                 ticket,
-                answer,
-                is_heard: false,
+                decision,
+                is_received: false,
             };
             guard.outcome().await.map_err(|room_in| Declined {
                 reason: DeclineReason::Crowded,
                 room_in,
             })?;
         }
-        Ok(self.start_run(call.identity, demand.run.mean))
+        Ok(self.start_run(call.identity, request.run.mean))
     }
 
     fn start_run(self: &Rc<Self>, call: CallIdentity, expected: Duration) -> RunPermit {
         let mut state = self.state.borrow_mut();
         let run = state.next_run;
         state.next_run += 1;
-        let at = self.clock.now();
-        state.started.insert(run, StartedRun { call, at, expected });
+        let started_at = self.clock.now();
+        state.active_runs.insert(
+            run,
+            ActiveRun {
+                call,
+                started_at,
+                expected,
+            },
+        );
         RunPermit {
             gate: Rc::clone(self),
             run,
         }
     }
 
-    /// Starts and turns away what the queue says.
+    /// Starts the waiting calls for which there are slots, and declines those that
+    /// are too late, or all of them if the target is closed.
     pub(super) fn dispatch(&self) {
         let now = self.clock.now();
-        let mut freed = 0;
+        let mut freed_slots = 0;
         {
             let mut state = self.state.borrow_mut();
             let state = &mut *state;
             if state.queue.waiting() == 0 {
                 return;
             }
-            let turn = turn_time(state, now);
-            let ends = if self.target_state(state, now) == TargetState::Closed {
-                state.queue.decline_all(turn)
+            let mean_run = mean_run_time(state, now);
+            let outcomes = if self.target_state(state, now) == TargetState::Closed {
+                state.queue.decline_all(mean_run)
             } else {
-                state.queue.dispatch(turn, now)
+                state.queue.dispatch(mean_run, now)
             };
-            for end in ends {
-                let (ticket, answer) = match end {
+            for outcome in outcomes {
+                let (ticket, decision) = match outcome {
                     WaitOutcome::Run(ticket) => (ticket, Ok(())),
                     WaitOutcome::Decline { ticket, room_in } => (ticket, Err(room_in)),
                 };
-                let runs = answer.is_ok();
-                let taken = state
+                let may_run = decision.is_ok();
+                let was_received = state
                     .waiters
                     .remove(&ticket)
-                    .is_some_and(|waiter| waiter.send(answer).is_ok());
-                if runs && !taken {
+                    .is_some_and(|waiter| waiter.send(decision).is_ok());
+                if may_run && !was_received {
                     state.queue.finish_run();
-                    freed += 1;
+                    freed_slots += 1;
                 }
             }
         }
-        if freed > 0 {
+        if freed_slots > 0 {
             self.dispatch();
         }
     }
 
-    /// Turns away calls that became too late while they waited. Runs for ever.
+    /// Declines waiting calls that have become too late, every
+    /// `EXPIRY_INTERVAL` while any call waits. Never returns.
     pub async fn run_queue_expiry(self: Rc<Self>) {
         loop {
             if self.state.borrow().queue.waiting() == 0 {
-                self.crowd.notified().await;
+                self.call_queued.notified().await;
             }
-            tokio::time::sleep(SETTLE_EVERY).await;
+            tokio::time::sleep(EXPIRY_INTERVAL).await;
             self.dispatch();
         }
     }
--- a/crates/mesh/src/target.rs
+++ b/crates/mesh/src/target.rs
@@ -1,5 +1,4 @@
-//! Connections to the target beside the daemon, and the exchange of one call
-//! over one of them.
+//! Connection pool for the local target, and the HTTP exchange of one call.
 
 use std::cell::RefCell;
 use std::io;
@@ -21,35 +20,37 @@
 use crate::messages::CallHead;
 use crate::sockets;
 
-/// Time to connect to the target, which is on this host: a live one takes a
-/// connection within a few milliseconds.
+/// Timeout for connecting to the target. A live target, which is on this host,
+/// accepts a connection within a few milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// Longest head of an answer, in bytes.
-const MAX_ANSWER_HEAD: usize = 64 * 1024;
-/// How long an idle connection is kept when the target does not say.
-const DEFAULT_KEEP: Duration = Duration::from_secs(5);
-/// Given up before the target would: a call sent at that moment would meet
-/// the target's close and might have run.
-const KEEP_MARGIN: Duration = Duration::from_millis(1200);
-/// Idle connections kept beyond the slots in use: new ones cost a handshake.
-const MAX_IDLE: usize = 32;
-/// From this status on an answer is the target's failure.
-const FIRST_FAILURE: u16 = 500;
+/// Maximum length in bytes of the head of a response.
+const MAX_RESPONSE_HEAD_BYTES: usize = 64 * 1024;
+/// Idle timeout of a connection if the target states none in `Keep-Alive`.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long before the idle timeout that the target states a connection is closed.
+/// A call sent just as the target closes the connection would be lost, without the
+/// daemon knowing whether it ran.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(1200);
+/// Most idle connections that are kept in the pool, beside those in use. Reuse
+/// saves the handshake of a new connection.
+const MAX_IDLE_CONNECTIONS: usize = 32;
+/// Lowest status code that counts as a failure of the target.
+const FIRST_FAILURE_STATUS: u16 = 500;
 
 #[derive(Debug)]
 struct TargetConnection {
     reader: MessageReader<OwnedReadHalf>,
     writer: OwnedWriteHalf,
     idle_since: Instant,
-    keep: Duration,
+    idle_timeout: Duration,
 }
 
 impl TargetConnection {
-    /// Whether the connection is open and nothing came on it unasked.
+    /// Returns whether the connection is open and has no unread bytes.
     ///
-    /// Guards against an answer nobody asked for being taken for the next
-    /// call's, and against sending on a connection that the target has closed.
-    fn is_clean(&mut self) -> bool {
+    /// Unread bytes are an answer without a request, which would be taken for the
+    /// answer to the next call. A call sent on a closed connection would be lost.
+    fn is_usable(&mut self) -> bool {
         if self.reader.has_buffered_bytes() {
             return false;
         }
@@ -63,62 +64,65 @@
     }
 }
 
-/// The kept connections to one target.
+/// Pool of idle connections to the local target.
 #[derive(Debug, Default)]
-pub struct TargetConnections {
+pub struct TargetConnectionPool {
     idle: RefCell<Vec<TargetConnection>>,
 }
 
-/// How an exchange ended.
+/// How the exchange of a call with the target ended.
 #[derive(Debug)]
-pub enum ExchangeEnd {
-    /// No connection could be made: the target saw nothing.
+pub enum ExchangeOutcome {
+    /// The connection could not be opened: the target did not see the call.
     NotConnected(io::Error),
-    /// The target said that it did not run the call.
+    /// The target stated that it did not run the call; with its load, if stated.
     Rejected(Option<StatedLoad>),
-    /// The call was sent and gave no usable answer.
+    /// The call may have been sent, and has no usable answer; with the reason.
     Lost(&'static str),
-    /// The call was sent, and the connection ended before an answer.
-    BrokenOff(&'static str),
-    /// The target's answer.
+    /// The connection was lost after it was opened and before an answer to the call
+    /// came; with the reason.
+    ConnectionLost(&'static str),
+    /// The target answered, also if with a failure.
     Answer(ResponseHead, Box<RunBody>),
 }
 
-/// What an exchange needs to know beside the call.
-pub struct ExchangeTerms<'a> {
-    /// Where the target listens.
+/// Parameters of an exchange, beside the call.
+pub struct ExchangeParams<'a> {
+    /// Address at which the target listens.
     pub address: SocketAddr,
-    /// The instance that may run the call.
+    /// Id of the instance that may run the call.
     pub instance: &'a str,
-    /// How long the caller still waits.
-    pub left: Duration,
-    /// Given back when the run has ended.
+    /// Time until the call's deadline.
+    pub remaining: Duration,
+    /// The call's slot, which is freed when the run has ended.
     pub permit: RunPermit,
 }
 
-impl TargetConnections {
-    /// Drops all kept connections, as when another instance is in place.
+impl TargetConnectionPool {
+    /// Closes all idle connections, as after the target was replaced or went down.
     pub fn clear(&self) {
         self.idle.borrow_mut().clear();
     }
 
-    /// The connection used last that is still good. The last one is the least
-    /// likely to have been forgotten by the target or by something between.
+    /// Takes the most recently used idle connection that is still usable. The
+    /// target, or a device on the way, is the least likely to have dropped it.
     fn take_idle(&self, now: Instant) -> Option<TargetConnection> {
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|connection| now < connection.idle_since + connection.keep);
+        idle.retain(|connection| now < connection.idle_since + connection.idle_timeout);
         while let Some(mut connection) = idle.pop() {
-            if connection.is_clean() {
+            if connection.is_usable() {
                 return Some(connection);
             }
         }
         None
     }
 
+    /// Returns a connection to the pool, or closes it if it is not usable or the
+    /// pool is full.
     fn put_back(&self, mut connection: TargetConnection, now: Instant) {
         connection.idle_since = now;
         let mut idle = self.idle.borrow_mut();
-        if idle.len() < MAX_IDLE && connection.is_clean() {
+        if idle.len() < MAX_IDLE_CONNECTIONS && connection.is_usable() {
             idle.push(connection);
         }
     }
@@ -129,18 +133,22 @@
         clock: &dyn Clock,
     ) -> io::Result<TargetConnection> {
         match self.take_idle(clock.now()) {
-            Some(kept) => Ok(kept),
-            None => TargetConnections::open(address, clock).await,
+            Some(idle) => Ok(idle),
+            None => TargetConnectionPool::open(address, clock).await,
         }
     }
 
-    /// Whether the target takes a new connection. It is kept: it replaces the
-    /// one whose end raised the question.
+    /// Checks that the target accepts a new connection. The connection goes to the
+    /// pool, in place of the one whose loss made the check necessary.
     ///
     /// # Errors
-    /// The connection's error.
-    pub async fn check(&self, address: SocketAddr, clock: &Rc<dyn Clock>) -> io::Result<()> {
-        let fresh = TargetConnections::open(address, clock.as_ref()).await?;
+    /// The error of the connect.
+    pub async fn check_accepts(
+        &self,
+        address: SocketAddr,
+        clock: &Rc<dyn Clock>,
+    ) -> io::Result<()> {
+        let fresh = TargetConnectionPool::open(address, clock.as_ref()).await?;
         self.put_back(fresh, clock.now());
         Ok(())
     }
@@ -153,36 +161,37 @@
             reader: MessageReader::new(read),
             writer: write,
             idle_since: clock.now(),
-            keep: DEFAULT_KEEP,
+            idle_timeout: DEFAULT_IDLE_TIMEOUT,
         })
     }
 
-    /// Sends a call and waits for the head of its answer.
+    /// Sends a call and waits for the head of its answer. The body is still to be
+    /// read from the returned [`RunBody`].
     pub async fn exchange(
         self: &Rc<Self>,
         call: &CallHead,
         body: CallBody,
-        terms: ExchangeTerms<'_>,
+        params: ExchangeParams<'_>,
         clock: &Rc<dyn Clock>,
-    ) -> ExchangeEnd {
-        let mut connection = match self.connection(terms.address, clock.as_ref()).await {
+    ) -> ExchangeOutcome {
+        let mut connection = match self.connection(params.address, clock.as_ref()).await {
             Ok(connection) => connection,
-            Err(error) => return ExchangeEnd::NotConnected(error),
+            Err(error) => return ExchangeOutcome::NotConnected(error),
         };
-        let start = request_bytes(call, &body, &terms);
+        let first_bytes = encode_request(call, &body, &params);
         let mut is_sent = false;
         let answer = {
             let TargetConnection { reader, writer, .. } = &mut connection;
-            let send = send_request(writer, start, body);
+            let send = send_request(writer, first_bytes, body);
             tokio::pin!(send);
-            let receive = read_answer(reader, call);
+            let receive = read_response_head(reader, call);
             tokio::pin!(receive);
             loop {
                 tokio::select! {
                     biased;
-                    done = &mut send, if !is_sent => match done {
+                    result = &mut send, if !is_sent => match result {
                         Ok(()) => is_sent = true,
-                        Err(end) => break Err(end),
+                        Err(outcome) => break Err(outcome),
                     },
                     answer = &mut receive => break answer,
                 }
@@ -190,43 +199,46 @@
         };
         let head = match answer {
             Ok(head) => head,
-            Err(end) => return end,
+            Err(outcome) => return outcome,
         };
-        if let Some(keep) = headers::read_keep_alive(&head.fields) {
-            connection.keep = keep.saturating_sub(KEEP_MARGIN);
+        if let Some(idle_timeout) = headers::read_keep_alive(&head.fields) {
+            connection.idle_timeout = idle_timeout.saturating_sub(IDLE_TIMEOUT_MARGIN);
         }
         let decoder = BodyDecoder::new(head.framing);
         let run = Box::new(RunBody {
-            // An answer that came before the body was sent leaves the
-            // connection in the middle of that body.
-            reusable: is_sent && head.keep_alive,
+            // If the answer came before the request body was fully sent, the target
+            // still expects the rest of that body on this connection.
+            is_reusable: is_sent && head.keep_alive,
             connection: Some(connection),
             decoder,
-            home: Rc::clone(self),
+            pool: Rc::clone(self),
             clock: Rc::clone(clock),
-            permit: Some(terms.permit),
-            is_failure: head.status >= FIRST_FAILURE,
+            permit: Some(params.permit),
+            is_failure: head.status >= FIRST_FAILURE_STATUS,
         });
         match headers::classify_response(&head, &call.id) {
-            ResponseKind::Valid => ExchangeEnd::Answer(head, run),
+            ResponseKind::Valid => ExchangeOutcome::Answer(head, run),
             ResponseKind::NotRun => {
                 let load = headers::read_load(&head.fields);
                 run.drain_in_background();
-                ExchangeEnd::Rejected(load)
+                ExchangeOutcome::Rejected(load)
             }
-            ResponseKind::Invalid | ResponseKind::Mismatched => ExchangeEnd::Lost("spoiled"),
+            ResponseKind::Invalid | ResponseKind::Mismatched => ExchangeOutcome::Lost("spoiled"),
         }
     }
 }
 
-fn request_bytes(call: &CallHead, body: &CallBody, terms: &ExchangeTerms<'_>) -> Vec<u8> {
+/// Encodes the request head, and the body if it is complete.
+fn encode_request(call: &CallHead, body: &CallBody, params: &ExchangeParams<'_>) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(call.lines.len() + 256);
     bytes.extend_from_slice(call.method.as_bytes());
     bytes.push(b' ');
     bytes.extend_from_slice(call.target.as_bytes());
     bytes.extend_from_slice(b" HTTP/1.1\r\n");
     bytes.extend_from_slice(&call.lines);
-    bytes.extend_from_slice(headers::attempt_header_lines(terms.left, terms.instance).as_bytes());
+    bytes.extend_from_slice(
+        headers::attempt_header_lines(params.remaining, params.instance).as_bytes(),
+    );
     match (call.has_body, call.body_length, body) {
         (false, _, _) => {}
         (true, Some(length), _) => {
@@ -246,23 +258,24 @@
     bytes
 }
 
+/// Sends the output of [`encode_request`], then the body as it is received.
 async fn send_request(
     writer: &mut OwnedWriteHalf,
-    start: Vec<u8>,
+    first_bytes: Vec<u8>,
     body: CallBody,
-) -> Result<(), ExchangeEnd> {
-    let is_chunked = start
+) -> Result<(), ExchangeOutcome> {
+    let is_chunked = first_bytes
         .windows(26)
         .any(|window| window == b"Transfer-Encoding: chunked");
-    let failed = |_| ExchangeEnd::BrokenOff("write failed");
-    writer.write_all(&start).await.map_err(failed)?;
+    let failed = |_| ExchangeOutcome::ConnectionLost("write failed");
+    writer.write_all(&first_bytes).await.map_err(failed)?;
     let CallBody::Pieces(mut pieces) = body else {
         return Ok(());
     };
     while let Some(piece) = pieces
         .next()
         .await
-        .map_err(|_| ExchangeEnd::Lost("call body broken off"))?
+        .map_err(|_| ExchangeOutcome::Lost("call body broken off"))?
     {
         let framed = if is_chunked {
             encode_chunk(&piece)
@@ -277,7 +290,7 @@
     Ok(())
 }
 
-/// A piece of a body as one chunk.
+/// Encodes a piece of a body as one chunk of the chunked transfer encoding.
 #[must_use]
 pub fn encode_chunk(piece: &[u8]) -> Bytes {
     let mut framed = format!("{:x}\r\n", piece.len()).into_bytes();
@@ -286,20 +299,24 @@
     Bytes::from(framed)
 }
 
-/// Reads heads until the one that answers `call`; answers that belong to
-/// other calls are read past.
-async fn read_answer(
+/// Reads the response head that answers `call`. Skips interim responses (1xx) and
+/// complete responses to other calls.
+async fn read_response_head(
     reader: &mut MessageReader<OwnedReadHalf>,
     call: &CallHead,
-) -> Result<ResponseHead, ExchangeEnd> {
+) -> Result<ResponseHead, ExchangeOutcome> {
     loop {
-        let raw = match reader.read_head(MAX_ANSWER_HEAD).await {
+        let raw = match reader.read_head(MAX_RESPONSE_HEAD_BYTES).await {
             Ok(Some(raw)) => raw,
-            Ok(None) => return Err(ExchangeEnd::BrokenOff("closed without an answer")),
-            Err(_) => return Err(ExchangeEnd::BrokenOff("broken off before an answer")),
+            Ok(None) => return Err(ExchangeOutcome::ConnectionLost("closed without an answer")),
+            Err(_) => {
+                return Err(ExchangeOutcome::ConnectionLost(
+                    "broken off before an answer",
+                ))
+            }
         };
         let head = ResponseHead::parse(&raw, call.method == "HEAD")
-            .map_err(|_| ExchangeEnd::Lost("bytes that are no answer"))?;
+            .map_err(|_| ExchangeOutcome::Lost("bytes that are no answer"))?;
         if (100..200).contains(&head.status) {
             continue;
         }
@@ -307,25 +324,30 @@
             return Ok(head);
         }
         if head.framing == BodyFraming::UntilClose {
-            return Err(ExchangeEnd::BrokenOff("closed with another call's answer"));
+            return Err(ExchangeOutcome::ConnectionLost(
+                "closed with another call's answer",
+            ));
         }
         let mut decoder = BodyDecoder::new(head.framing);
         while reader
             .read_body_data(&mut decoder)
             .await
-            .map_err(|_| ExchangeEnd::BrokenOff("broken off inside another call's answer"))?
+            .map_err(|_| {
+                ExchangeOutcome::ConnectionLost("broken off inside another call's answer")
+            })?
             .is_some()
         {}
     }
 }
 
-/// The body of an answer as it comes from the target. Dropping it before its
-/// end closes the connection, which makes the target drop the run.
+/// The body of an answer, read from the target as it comes. Dropping it before its
+/// end closes the connection, which makes the target abandon the run.
 pub struct RunBody {
     connection: Option<TargetConnection>,
     decoder: BodyDecoder,
-    reusable: bool,
-    home: Rc<TargetConnections>,
+    /// Whether the connection may go back to the pool after the body.
+    is_reusable: bool,
+    pool: Rc<TargetConnectionPool>,
     clock: Rc<dyn Clock>,
     permit: Option<RunPermit>,
     /// Whether the answer is the target's failure.
@@ -336,16 +358,17 @@
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter
             .debug_struct("RunBody")
-            .field("reusable", &self.reusable)
+            .field("reusable", &self.is_reusable)
             .finish_non_exhaustive()
     }
 }
 
 impl RunBody {
-    /// The next piece; `None` at the end.
+    /// Reads the next piece of the body; `None` at its end. The run ends with the
+    /// body, as successful unless the answer is a failure.
     ///
     /// # Errors
-    /// [`BodyBroken`] when the target broke off.
+    /// [`BodyBroken`] if the connection was lost before the end of the body.
     pub async fn next(&mut self) -> Result<Option<Bytes>, BodyBroken> {
         let Some(connection) = &mut self.connection else {
             return Ok(None);
@@ -359,28 +382,30 @@
             Err(_) => {
                 self.connection = None;
                 if let Some(permit) = self.permit.take() {
-                    permit.broke_off();
+                    permit.end_broken_off();
                 }
                 Err(BodyBroken)
             }
         }
     }
 
+    /// Returns the connection to the pool and ends the run.
     fn finish(&mut self) {
         if let Some(connection) = self.connection.take() {
-            if self.reusable {
-                self.home.put_back(connection, self.clock.now());
+            if self.is_reusable {
+                self.pool.put_back(connection, self.clock.now());
             }
         }
         if let Some(permit) = self.permit.take() {
             if !self.is_failure {
-                permit.ended_well();
+                permit.end_successful();
             }
         }
     }
 
-    /// Reads a short body nobody wants to its end, so that the connection can
-    /// be kept.
+    /// Frees the slot, then reads the body of a rejection to its end in the
+    /// background, so that the connection can be reused. A body that takes longer
+    /// than `CONNECT_TIMEOUT` is dropped with its connection.
     fn drain_in_background(mut self: Box<Self>) {
         self.permit = None;
         tokio::task::spawn_local(async move {
