--- a/crates/mesh/src/control.rs
+++ b/crates/mesh/src/control.rs
@@ -1,4 +1,4 @@
-//! Hears the target beside the daemon, at the control address.
+//! Control server: receives the reports of the local target.
 
 use std::rc::Rc;
 
@@ -10,12 +10,12 @@
 use crate::small_server::{accept_for_ever, serve_requests, SmallAnswer};
 use crate::state::MeshShared;
 
-/// Takes reports until the process ends.
+/// Serves the target's requests on `listener` until the process ends.
 pub async fn serve(shared: Rc<MeshShared>, listener: TcpListener) {
     accept_for_ever("control", listener, |stream| {
         let shared = Rc::clone(&shared);
         serve_requests(stream, move |head, body| SmallAnswer {
-            status: take_call(&shared, head, body),
+            status: handle_call(&shared, head, body),
             content_type: "application/json",
             body: "{}".to_owned(),
         })
@@ -25,15 +25,17 @@
 
 const BAD_REQUEST: u16 = 400;
 
-/// Whether a report of `service` can be of the target here.
+/// Returns whether a report of `service` can come from the local target: the
+/// service is this host's own or one of the current configuration.
 ///
-/// Guards against a report by another writer: taken for a new start of the
-/// target it would close the live one for good.
+/// A report by another program would be taken for a restart of the target, and
+/// would close the gate to the live target for good.
 fn is_known_service(shared: &MeshShared, service: &str) -> bool {
     shared.settings.borrow().service == service || shared.current_index().has_service(service)
 }
 
-fn take_call(shared: &Rc<MeshShared>, head: &RequestHead, body: &[u8]) -> u16 {
+/// Handles one request of the target. Returns the status code of the answer.
+fn handle_call(shared: &Rc<MeshShared>, head: &RequestHead, body: &[u8]) -> u16 {
     match instances::decode_call(&head.method, &head.target, body) {
         InstanceCall::Report(report) => {
             if !is_known_service(shared, &report.service) {
--- a/crates/mesh/src/held_rows.rs
+++ b/crates/mesh/src/held_rows.rs
@@ -1,9 +1,9 @@
-//! Rows of the calls that are held back. They outlive daemons: when all end at
-//! once, none is left that could tell the others.
+//! Rows in the store for the calls that the quarantine holds back. They keep the
+//! holds when all daemons end at once, so that none is left to tell the others.
 //!
-//! The rows stand in the table of hosts, which is read and followed anyway. The
-//! few daemons that ask the store for the fleet write them; others, and
-//! operators who let a call go, are heard through them.
+//! The rows are in the table of hosts, which daemons read and watch anyway. Only
+//! the few daemons that access the store for the fleet write them. Daemons also
+//! learn of holds by other writers, and of releases by operators, from the rows.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -18,21 +18,24 @@
 use crate::row_value;
 use crate::state::MeshShared;
 
-/// What the keys of these rows begin with; no host's name has a slash.
+/// Prefix of the keys of held rows. It differs from all keys of hosts, as no host's
+/// name has a slash.
 const KEY_PREFIX: &str = "held/";
 
-/// A call that is held back, or was let go, as its row says it.
+/// A call that is held back, or that was released by an operator: the content of
+/// its row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldRow {
-    /// Which call.
+    /// Identity of the call.
     pub call: CallIdentity,
-    /// The ends of targets under it.
+    /// The crashes that count as strikes.
     pub crashes: Vec<StoredCrash>,
-    /// Unix millisecond at which it was let go, if it was.
+    /// Unix time in milliseconds at which the call was cleared or released; `None` if
+    /// it never was.
     pub cleared_ms: Option<u64>,
 }
 
-/// A [`TargetCrash`] in wall time.
+/// A [`TargetCrash`] with wall-clock times, in Unix milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredCrash {
     id: u64,
@@ -40,36 +43,39 @@
     ended_ms: u64,
 }
 
-/// Wall time of `at`, in Unix milliseconds.
-fn wall_ms(at: Instant, clock: &ClockReading) -> u64 {
+/// Converts `at` to Unix milliseconds.
+fn to_unix_ms(at: Instant, clock: &ClockReading) -> u64 {
     let age = clock.now.saturating_duration_since(at);
     let age_ms = u64::try_from(age.as_millis()).unwrap_or(u64::MAX);
     clock.wall_ms().saturating_sub(age_ms)
 }
 
-/// The moment of a Unix millisecond; now when this host's clock is behind it.
-fn moment_of(wall_ms: u64, clock: &ClockReading) -> Option<Instant> {
-    let age_ms = clock.wall_ms().saturating_sub(wall_ms);
+/// Converts Unix milliseconds to an `Instant`. A time in the future, as from a host
+/// whose clock is ahead, becomes now; `None` if the time is too far back for an
+/// `Instant` of this host.
+fn from_unix_ms(unix_ms: u64, clock: &ClockReading) -> Option<Instant> {
+    let age_ms = clock.wall_ms().saturating_sub(unix_ms);
     clock.now.checked_sub(Duration::from_millis(age_ms))
 }
 
 impl HeldRow {
-    /// The row of `call`.
+    /// Converts the record of `call`.
     #[must_use]
     pub fn from_record(call: CallIdentity, record: &CallRecord, clock: &ClockReading) -> HeldRow {
         let stored_crash = |crash: &TargetCrash| StoredCrash {
             id: crash.id,
-            began_ms: wall_ms(crash.began, clock),
-            ended_ms: wall_ms(crash.ended, clock),
+            began_ms: to_unix_ms(crash.began, clock),
+            ended_ms: to_unix_ms(crash.ended, clock),
         };
         HeldRow {
             call,
             crashes: record.crashes().map(stored_crash).collect(),
-            cleared_ms: record.cleared().map(|at| wall_ms(at, clock)),
+            cleared_ms: record.cleared().map(|at| to_unix_ms(at, clock)),
         }
     }
 
-    /// The row that lets `call` go.
+    /// The row with which an operator releases `call`: it has no crashes, and is
+    /// cleared now.
     #[must_use]
     pub fn released(call: CallIdentity, clock: &ClockReading) -> HeldRow {
         HeldRow {
@@ -79,7 +85,8 @@
         }
     }
 
-    /// The row of `row`; `None` when it is another, or cannot be read.
+    /// Decodes a row of the store; `None` if it is no held row, has no value or is
+    /// malformed. A malformed one is logged.
     #[must_use]
     pub fn decode(row: &StoreRow) -> Option<HeldRow> {
         if !is_held_key(&row.key) {
@@ -87,7 +94,7 @@
         }
         let value = row.value.as_ref()?;
         match row_value::decode(value) {
-            Ok(held) if is_own(&held, &row.key) => Some(held),
+            Ok(held) if matches_key(&held, &row.key) => Some(held),
             _ => {
                 log::warn!("event=held_row_malformed key={}", row.key);
                 None
@@ -95,57 +102,62 @@
         }
     }
 
-    /// Its value.
+    /// Encodes the row's value for the store.
     #[must_use]
     pub fn value(&self) -> Vec<u8> {
         row_value::encode(self)
     }
 
-    /// What it says.
+    /// Converts back to a record. Crashes that `Instant` cannot represent are left
+    /// out.
     #[must_use]
     pub fn to_record(&self, clock: &ClockReading) -> CallRecord {
         let crash = |crash: &StoredCrash| {
             Some(TargetCrash {
                 id: crash.id,
-                began: moment_of(crash.began_ms, clock)?,
-                ended: moment_of(crash.ended_ms, clock)?,
+                began: from_unix_ms(crash.began_ms, clock)?,
+                ended: from_unix_ms(crash.ended_ms, clock)?,
             })
         };
         let crashes = self.crashes.iter().filter_map(crash).collect();
-        let cleared = self.cleared_ms.and_then(|ms| moment_of(ms, clock));
+        let cleared = self.cleared_ms.and_then(|ms| from_unix_ms(ms, clock));
         CallRecord::new(crashes, cleared, None)
     }
 }
 
-/// Guards against a row by another writer whose bytes happen to decode.
-fn is_own(held: &HeldRow, key: &str) -> bool {
+/// Returns whether the decoded call belongs to the row's key. It doesn't if the
+/// bytes are of another writer and only happen to decode.
+fn matches_key(held: &HeldRow, key: &str) -> bool {
     held_row_key(held.call) == key
 }
 
-/// The key of the row of `call`.
+/// Returns the key of the held row of `call`.
 #[must_use]
 pub fn held_row_key(call: CallIdentity) -> String {
     format!("{KEY_PREFIX}{call}")
 }
 
-/// Whether a row with `key` is of a call, not of a host.
+/// Returns whether `key` is that of a held row, rather than of a host.
 #[must_use]
 pub fn is_held_key(key: &str) -> bool {
     key.starts_with(KEY_PREFIX)
 }
 
-/// The rows that are in the table, as far as is known, and the marks in each.
+/// The held rows that are in the store as far as known, with the number of crashes
+/// in each.
 pub type WrittenRows = BTreeMap<CallIdentity, usize>;
 
 impl MeshShared {
-    /// Takes over rows that were read.
+    /// Merges the held rows among `rows`, which were read from the store, into the
+    /// quarantine. Has expired rows removed if this daemon accesses the store for the
+    /// fleet.
     pub fn merge_held_rows<'a>(&self, rows: impl Iterator<Item = &'a StoreRow>) {
         for row in rows.filter(|row| is_held_key(&row.key)) {
             let Some(held) = HeldRow::decode(row) else {
                 continue;
             };
-            let is_remembered = self.quarantine.merge_row(&held);
-            if !is_remembered && self.members.is_source() {
+            let is_current = self.quarantine.merge_row(&held);
+            if !is_current && self.members.is_source() {
                 self.members
                     .rows
                     .want(RowChange::Remove(held_row_key(held.call)));
@@ -153,8 +165,8 @@
         }
     }
 
-    /// Has the rows of calls of which there is news written or removed, if this
-    /// daemon asks the store for the fleet.
+    /// Has the held rows of `calls` written or removed as their records require, if
+    /// this daemon accesses the store for the fleet.
     pub(crate) fn update_held_rows(&self, calls: &[CallIdentity]) {
         if !self.members.is_source() {
             return;
@@ -167,21 +179,22 @@
     }
 }
 
-/// What is to become of the row of a call with `record`: it stands while the
-/// call is held back.
+/// Returns the change that brings the row of `call` up to date: the row exists
+/// while the call is held back. `None` if it is up to date, as far as known from
+/// `written_rows`, which is updated as if the change were written.
 #[must_use]
 pub fn row_change(
     call: CallIdentity,
     record: &CallRecord,
-    written: &mut WrittenRows,
+    written_rows: &mut WrittenRows,
     clock: &ClockReading,
 ) -> Option<RowChange> {
     if record.is_held() {
         let held = HeldRow::from_record(call, record, clock);
         let crashes = held.crashes.len();
-        let is_news = written.insert(call, crashes) != Some(crashes);
-        return is_news.then_some(RowChange::Hold(held));
+        let is_outdated = written_rows.insert(call, crashes) != Some(crashes);
+        return is_outdated.then_some(RowChange::Hold(held));
     }
-    let was_written = written.remove(&call).is_some();
+    let was_written = written_rows.remove(&call).is_some();
     was_written.then(|| RowChange::Remove(held_row_key(call)))
 }
--- a/crates/mesh/src/quarantine.rs
+++ b/crates/mesh/src/quarantine.rs
@@ -1,5 +1,5 @@
-//! The calls held back because their targets ended: this daemon's book of
-//! them, and what daemons tell each other of it.
+//! Shares the quarantine between daemons: this daemon's table of the calls that
+//! were running as targets crashed, and the updates of it to and from others.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -20,30 +20,33 @@
 use crate::metrics::MeshMetrics;
 use crate::state::MeshShared;
 
-/// Pause in which news gather: a target that ends takes all its calls with it
-/// within a few milliseconds.
-const GATHER: Duration = Duration::from_millis(20);
-/// Daemons, each way, that are told of a first mark. As each passes it on,
-/// nearly all hear of it, at the same cost in a fleet of any size.
-const TOLD_OF_FIRST: usize = 6;
-/// Calls in one message. Bounds what is told at a time when a zone's targets end
-/// at one moment.
-const MOST_TOLD: usize = 128;
-
-/// A call that was at work as targets ended, as daemons tell each other.
+/// Delay in which updates are gathered into one message. A target that crashes
+/// breaks off all its calls within a few milliseconds.
+const BATCH_DELAY: Duration = Duration::from_millis(20);
+/// Number of daemons to which a first strike is sent: up to this many that linked
+/// here, and as many to which this daemon linked. As each of them forwards it,
+/// nearly all daemons receive it, and a daemon's cost does not grow with the fleet.
+const GOSSIP_FANOUT: usize = 6;
+/// Most calls that a message holds, and that its receiver reads. Bounds the message
+/// when all targets of a zone end at the same moment.
+const MAX_CALLS_PER_MESSAGE: usize = 128;
+
+/// Record of a call that was running as targets crashed, as sent between daemons.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectCall {
-    /// Which call.
+    /// Identity of the call.
     pub call: CallIdentity,
-    /// The ends that count.
+    /// The crashes that count as strikes.
     pub crashes: Vec<AgedCrash>,
-    /// Milliseconds since it last ran well, if it did.
+    /// Milliseconds since the call was last cleared, as a target ran it to a full
+    /// answer or an operator released it; `None` if it never was.
     pub cleared_ago_ms: Option<u64>,
-    /// Milliseconds since a try went that has not ended.
+    /// Milliseconds since the start of a probe that has not ended; `None` if there
+    /// is none.
     pub probe_started_ago_ms: Option<u64>,
 }
 
-/// A [`TargetCrash`] with ages in place of times: clocks differ.
+/// A [`TargetCrash`] with ages in place of times, as the hosts' clocks differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AgedCrash {
     id: u64,
@@ -56,8 +59,9 @@
     u64::try_from(age.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// The time `age_ms` before `now`; `None` when that is before this host's start.
-fn time_of(age_ms: u64, now: Instant) -> Option<Instant> {
+/// The time `age_ms` before `now`; `None` if an [`Instant`] of this host cannot
+/// represent it, as before the host's start.
+fn instant_before(age_ms: u64, now: Instant) -> Option<Instant> {
     now.checked_sub(Duration::from_millis(age_ms))
 }
 
@@ -73,14 +77,14 @@
     fn to_crash(self, now: Instant) -> Option<TargetCrash> {
         Some(TargetCrash {
             id: self.id,
-            began: time_of(self.began_ago_ms, now)?,
-            ended: time_of(self.ended_ago_ms, now)?,
+            began: instant_before(self.began_ago_ms, now)?,
+            ended: instant_before(self.ended_ago_ms, now)?,
         })
     }
 }
 
 impl SuspectCall {
-    /// What `record` says of `call`, in ages at `now`.
+    /// Converts the record of `call`, with ages at `now`.
     #[must_use]
     pub fn from_record(call: CallIdentity, record: &CallRecord, now: Instant) -> SuspectCall {
         SuspectCall {
@@ -94,41 +98,47 @@
         }
     }
 
-    fn record(&self, now: Instant) -> CallRecord {
+    /// Converts back to a record. Crashes that `Instant` cannot represent are left
+    /// out.
+    fn to_record(&self, now: Instant) -> CallRecord {
         let crashes = self.crashes.iter().filter_map(|crash| crash.to_crash(now));
-        let cleared = self.cleared_ago_ms.and_then(|age| time_of(age, now));
-        let probe_started = self.probe_started_ago_ms.and_then(|age| time_of(age, now));
+        let cleared = self.cleared_ago_ms.and_then(|age| instant_before(age, now));
+        let probe_started = self
+            .probe_started_ago_ms
+            .and_then(|age| instant_before(age, now));
         CallRecord::new(crashes.collect(), cleared, probe_started)
     }
 }
 
-/// Who is to hear of a call.
+/// Daemons to which an update of a call is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum ToldCircle {
-    /// Some daemons, which pass it on.
+enum Recipients {
+    /// [`GOSSIP_FANOUT`] daemons, which forward it.
     Few,
-    /// All that are linked.
+    /// All linked daemons.
     All,
 }
 
-/// The book that the daemon's parts share.
+/// The daemon's quarantine table, with the updates that are still to be sent.
 pub struct SharedQuarantine {
     table: RefCell<QuarantineTable>,
     clock: Rc<dyn Clock>,
     metrics: Rc<MeshMetrics>,
     lines: LineBudget,
-    /// A random fraction of this daemon's.
+    /// This daemon's random fraction, which spreads probes over the fleet.
     jitter: f64,
-    untold: RefCell<BTreeMap<CallIdentity, ToldCircle>>,
-    has_untold: Notify,
-    /// Rows of held calls in the store.
-    written: RefCell<WrittenRows>,
-    /// Whether anything was ever noted: most daemons never do.
+    /// Calls with updates to be sent.
+    pending: RefCell<BTreeMap<CallIdentity, Recipients>>,
+    has_pending: Notify,
+    /// Rows of held calls that are in the store, as far as known.
+    written_rows: RefCell<WrittenRows>,
+    /// Whether any record was ever merged. On most daemons none ever is, so that
+    /// queries can skip the table.
     is_used: Cell<bool>,
 }
 
 impl SharedQuarantine {
-    /// An empty book.
+    /// Creates an empty quarantine.
     #[must_use]
     pub fn new(metrics: Rc<MeshMetrics>, clock: Rc<dyn Clock>) -> Rc<SharedQuarantine> {
         Rc::new(SharedQuarantine {
@@ -137,15 +147,15 @@
             clock,
             metrics,
             jitter: rand::random(),
-            untold: RefCell::default(),
-            has_untold: Notify::new(),
-            written: RefCell::default(),
+            pending: RefCell::default(),
+            has_pending: Notify::new(),
+            written_rows: RefCell::default(),
             is_used: Cell::new(false),
         })
     }
 
-    /// Notes that the target beside this daemon ended while it ran `call`,
-    /// begun at `began`; the mark for the call's own daemon.
+    /// Records that the local target crashed while it ran `call`, since `began`.
+    /// Returns the crash for the reply to the daemon that sent the call.
     pub fn record_crash(&self, call: CallIdentity, began: Instant) -> AgedCrash {
         let now = self.clock.now();
         let crash = TargetCrash {
@@ -153,76 +163,82 @@
             began,
             ended: now,
         };
-        self.note(call, &CallRecord::from_crash(crash), "target");
+        self.merge_record(call, &CallRecord::from_crash(crash), "target");
         AgedCrash::from_crash(&crash, now)
     }
 
-    /// Takes over the mark that came with the reply to `call`.
+    /// Merges a crash that came with the reply to `call`.
     pub fn merge_crash(&self, call: CallIdentity, crash: AgedCrash) {
         if let Some(crash) = crash.to_crash(self.clock.now()) {
-            self.note(call, &CallRecord::from_crash(crash), "reply");
+            self.merge_record(call, &CallRecord::from_crash(crash), "reply");
         }
     }
 
-    /// Takes over what daemon `from` tells.
+    /// Merges records of daemon `from`. A daemon that still counts crashes of a call
+    /// that was cleared since is answered by a broadcast of the call.
     pub fn merge_suspects(&self, calls: &[SuspectCall], from: &str) {
         let now = self.clock.now();
-        for told in calls.iter().take(MOST_TOLD) {
-            let change = self.note(told.call, &told.record(now), from);
-            if change.is_sender_behind {
-                self.tell(told.call, ToldCircle::All);
+        for suspect in calls.iter().take(MAX_CALLS_PER_MESSAGE) {
+            let outcome = self.merge_record(suspect.call, &suspect.to_record(now), from);
+            if outcome.is_sender_behind {
+                self.queue_update(suspect.call, Recipients::All);
             }
         }
     }
 
-    /// Takes over a row of the store, unless it is long over; whether it is not.
+    /// Merges a row of the store. Returns false, without a merge, if its record has
+    /// expired.
     pub fn merge_row(&self, held: &HeldRow) -> bool {
         let record = held.to_record(&self.clock.reading());
         if is_expired(&record, self.clock.now()) {
             return false;
         }
         let crashes = held.crashes.len();
-        self.written.borrow_mut().insert(held.call, crashes);
-        self.note(held.call, &record, "store");
+        self.written_rows.borrow_mut().insert(held.call, crashes);
+        self.merge_record(held.call, &record, "store");
         true
     }
 
-    /// What is to become of the row of `call`, now that there is news of it.
+    /// Returns the change that brings the store's row of `call` up to date; `None`
+    /// if there is none to make.
     #[must_use]
     pub fn row_change(&self, call: CallIdentity) -> Option<RowChange> {
         let table = self.table.borrow();
-        let mut written = self.written.borrow_mut();
+        let mut written_rows = self.written_rows.borrow_mut();
         let clock = self.clock.reading();
-        held_rows::row_change(call, table.record(call)?, &mut written, &clock)
+        held_rows::row_change(call, table.record(call)?, &mut written_rows, &clock)
     }
 
-    /// Takes all rows for lost; the calls whose rows may have to be written again.
+    /// Forgets which rows are in the store, as it may have lost them. Returns the
+    /// suspects, whose rows may have to be written again.
     #[must_use]
     pub fn forget_written_rows(&self) -> Vec<CallIdentity> {
-        self.written.borrow_mut().clear();
+        self.written_rows.borrow_mut().clear();
         let table = self.table.borrow();
         table.suspects().into_iter().map(|(call, _)| call).collect()
     }
 
-    fn note(&self, call: CallIdentity, record: &CallRecord, from: &str) -> MergeOutcome {
+    /// Merges `record`, and queues an update for other daemons if it changed
+    /// anything.
+    fn merge_record(&self, call: CallIdentity, record: &CallRecord, from: &str) -> MergeOutcome {
         self.is_used.set(true);
         let now = self.clock.now();
-        let change = self.table.borrow_mut().merge(call, record, now);
-        if change.is_new {
-            self.say_change(call, change, from);
-            let circle = if change.needs_broadcast() {
-                ToldCircle::All
+        let outcome = self.table.borrow_mut().merge(call, record, now);
+        if outcome.is_new {
+            self.log_merge(call, outcome, from);
+            let recipients = if outcome.needs_broadcast() {
+                Recipients::All
             } else {
-                ToldCircle::Few
+                Recipients::Few
             };
-            self.tell(call, circle);
+            self.queue_update(call, recipients);
         }
-        change
+        outcome
     }
 
-    fn say_change(&self, call: CallIdentity, change: MergeOutcome, from: &str) {
-        let MergeOutcome { before, now, .. } = change;
-        if change.starts_hold() {
+    fn log_merge(&self, call: CallIdentity, outcome: MergeOutcome, from: &str) {
+        let MergeOutcome { before, now, .. } = outcome;
+        if outcome.starts_hold() {
             self.metrics.quarantined("held");
             log::warn!("event=call_held call={call} strikes={now} from={from}");
         } else if now > before {
@@ -231,18 +247,18 @@
                 log::info!("event=call_suspected call={call} strikes={now} from={from}");
             }
         } else if now < before {
-            self.say_cleared(call, before, from);
+            self.log_cleared(call, before, from);
         }
     }
 
-    fn say_cleared(&self, call: CallIdentity, strikes: u32, from: &str) {
+    fn log_cleared(&self, call: CallIdentity, strikes: u32, from: &str) {
         self.metrics.quarantined("cleared");
         if self.lines.takes(LineWeight::Notable, self.clock.now()) {
             log::info!("event=call_cleared call={call} strikes={strikes} from={from}");
         }
     }
 
-    /// Notes that a target ran `call` and answered in full.
+    /// Records that a target ran `call` to a full answer, which clears it.
     pub fn record_success(&self, call: CallIdentity) {
         if !self.is_used.get() {
             return;
@@ -251,14 +267,14 @@
         let needs_broadcast = table.is_suspect(call);
         let strikes = table.record_success(call, self.clock.now());
         if strikes > 0 {
-            self.say_cleared(call, strikes, "target");
+            self.log_cleared(call, strikes, "target");
         }
         if needs_broadcast {
-            self.tell(call, ToldCircle::All);
+            self.queue_update(call, Recipients::All);
         }
     }
 
-    /// What may be done with `call` here.
+    /// Returns whether `call` may run now, is to be probed or is held.
     #[must_use]
     pub fn quarantine_state(&self, call: CallIdentity) -> QuarantineState {
         if !self.is_used.get() {
@@ -268,7 +284,7 @@
         self.table.borrow().quarantine_state(call, self.jitter, now)
     }
 
-    /// Time for which no daemon lets `call` go.
+    /// Returns the time for which no daemon lets `call` run; zero if it is not held.
     #[must_use]
     pub fn remaining_hold(&self, call: CallIdentity) -> Duration {
         if !self.is_used.get() {
@@ -277,17 +293,18 @@
         self.table.borrow().remaining_hold(call, self.clock.now())
     }
 
-    /// Whether `call` is not to be sent to another target by itself.
+    /// Returns whether `call` is a suspect: daemons must not retry it by themselves.
     #[must_use]
     pub fn is_suspect(&self, call: CallIdentity) -> bool {
         self.is_used.get() && self.table.borrow().is_suspect(call)
     }
 
-    /// Lets the one try of `call` go.
+    /// Starts a probe of `call`, the only run of it in the fleet, and tells all
+    /// daemons. The probe lasts until the permit is dropped.
     #[must_use]
     pub fn begin_probe(self: &Rc<Self>, call: CallIdentity) -> ProbePermit {
         self.table.borrow_mut().begin_probe(call, self.clock.now());
-        self.tell(call, ToldCircle::All);
+        self.queue_update(call, Recipients::All);
         if self.lines.takes(LineWeight::Notable, self.clock.now()) {
             log::info!("event=call_tried call={call}");
         }
@@ -297,21 +314,24 @@
         }
     }
 
-    /// Calls held back now.
+    /// Returns the number of calls that are held now.
     #[must_use]
     pub fn held(&self) -> usize {
         self.table.borrow().held(self.clock.now())
     }
 
-    fn tell(&self, call: CallIdentity, circle: ToldCircle) {
-        let mut untold = self.untold.borrow_mut();
-        let wanted = untold.entry(call).or_insert(circle);
-        *wanted = circle.max(*wanted);
-        self.has_untold.notify_one();
+    /// Queues an update of `call` for `recipients`, or for more of them if it is
+    /// queued for more already.
+    fn queue_update(&self, call: CallIdentity, recipients: Recipients) {
+        let mut pending = self.pending.borrow_mut();
+        let queued = pending.entry(call).or_insert(recipients);
+        *queued = recipients.max(*queued);
+        self.has_pending.notify_one();
     }
 
-    /// What a daemon that has just linked here, or that was just linked to, is
-    /// to know. It may have started later, or have been cut off.
+    /// Returns the message with the suspects of most strikes, for a daemon to which a
+    /// link, in either direction, has just been made; `None` if there are no suspects.
+    /// That daemon may have missed them, as it was not running or was cut off.
     #[must_use]
     pub fn suspects(&self) -> Option<LinkMessage> {
         let now = self.clock.now();
@@ -319,24 +339,28 @@
         let calls: Vec<SuspectCall> = table
             .suspects()
             .into_iter()
-            .take(MOST_TOLD)
+            .take(MAX_CALLS_PER_MESSAGE)
             .map(|(call, record)| SuspectCall::from_record(call, record, now))
             .collect();
         (!calls.is_empty()).then_some(LinkMessage::Suspects(calls))
     }
 
-    /// Takes out what `circle` is to hear, as much as one message holds.
-    fn take_untold(&self, circle: ToldCircle) -> Vec<SuspectCall> {
+    /// Takes the pending updates for `recipients` out of the queue, as many as one
+    /// message may hold.
+    fn take_pending(&self, recipients: Recipients) -> Vec<SuspectCall> {
         let now = self.clock.now();
         let table = self.table.borrow();
-        let mut untold = self.untold.borrow_mut();
-        let of_circle = untold.iter().filter(|(_, wanted)| **wanted == circle);
-        let calls: Vec<CallIdentity> = of_circle.map(|(call, _)| *call).take(MOST_TOLD).collect();
+        let mut pending = self.pending.borrow_mut();
+        let for_recipients = pending.iter().filter(|(_, queued)| **queued == recipients);
+        let calls: Vec<CallIdentity> = for_recipients
+            .map(|(call, _)| *call)
+            .take(MAX_CALLS_PER_MESSAGE)
+            .collect();
         for call in &calls {
-            untold.remove(call);
+            pending.remove(call);
         }
-        if !untold.is_empty() {
-            self.has_untold.notify_one();
+        if !pending.is_empty() {
+            self.has_pending.notify_one();
         }
         calls
             .into_iter()
@@ -345,7 +369,7 @@
     }
 }
 
-/// The right of a suspect's one try; dropping it ends the try.
+/// A running probe of a suspect. Dropping the permit ends the probe.
 pub struct ProbePermit {
     quarantine: Rc<SharedQuarantine>,
     call: CallIdentity,
@@ -357,29 +381,32 @@
     }
 }
 
-/// Tells other daemons what is new. Runs for ever.
+/// Sends pending updates to other daemons. Never returns.
 pub async fn send_updates(shared: Rc<MeshShared>) {
     loop {
-        shared.quarantine.has_untold.notified().await;
-        tokio::time::sleep(GATHER).await;
-        tell(&shared, ToldCircle::All, usize::MAX);
-        tell(&shared, ToldCircle::Few, TOLD_OF_FIRST);
+        shared.quarantine.has_pending.notified().await;
+        tokio::time::sleep(BATCH_DELAY).await;
+        send_pending(&shared, Recipients::All, usize::MAX);
+        send_pending(&shared, Recipients::Few, GOSSIP_FANOUT);
     }
 }
 
-fn tell(shared: &MeshShared, circle: ToldCircle, most: usize) {
-    let calls = shared.quarantine.take_untold(circle);
+/// Sends one message of pending updates for `recipients`, to at most `max_peers`
+/// daemons over links in each direction. Also updates the rows in the store if the
+/// message is for all.
+fn send_pending(shared: &MeshShared, recipients: Recipients, max_peers: usize) {
+    let calls = shared.quarantine.take_pending(recipients);
     if calls.is_empty() {
         return;
     }
-    if circle == ToldCircle::All {
-        let news: Vec<CallIdentity> = calls.iter().map(|told| told.call).collect();
-        shared.update_held_rows(&news);
+    if recipients == Recipients::All {
+        let updated: Vec<CallIdentity> = calls.iter().map(|suspect| suspect.call).collect();
+        shared.update_held_rows(&updated);
     }
     let message = LinkMessage::Suspects(calls);
-    shared.peers.broadcast_to(most, &encode(&message));
-    for peer in shared.peers.some_linked(most) {
-        // A link that has ended by now is told of it when it is up again.
+    shared.peers.broadcast_to(max_peers, &encode(&message));
+    for peer in shared.peers.some_linked(max_peers) {
+        // A peer whose link has just ended gets all suspects when it is up again.
         let _ = peer.say(message.clone());
     }
 }
