--- a/crates/mesh/tests/quarantine_cases.rs
+++ b/crates/mesh/tests/quarantine_cases.rs
@@ -1,4 +1,5 @@
-//! What daemons tell each other of calls that were at work as targets ended.
+//! Tests of the quarantine's messages between daemons and of its rows in the
+//! store.
 
 use std::time::{Duration, Instant, SystemTime};
 
@@ -11,11 +12,11 @@
 use filbert_policy::quarantine::{CallRecord, TargetCrash};
 use rstest::rstest;
 
-/// Bytes of the news of one end; told to some daemons by each, it is the price of
-/// each target that ends.
-const MOST_BYTES_AN_END: usize = 400;
-/// Calls that a target has under way.
-const UNDER_WAY: u64 = 9;
+/// Maximum length in bytes of the message about one crash. Each daemon sends it on
+/// to several others, so its length sets the traffic that a crash causes.
+const MAX_BYTES_PER_CRASH: usize = 400;
+/// Number of calls that a target runs as it crashes.
+const ACTIVE_RUNS: u64 = 9;
 
 fn call(number: u64) -> CallIdentity {
     CallIdentity::of(&IdentityParts {
@@ -37,16 +38,16 @@
 }
 
 #[test]
-fn the_news_of_an_end_are_short() {
+fn message_about_a_crash_is_short() {
     let now = Instant::now();
-    let calls = (0..UNDER_WAY)
+    let calls = (0..ACTIVE_RUNS)
         .map(|number| {
             let record = CallRecord::from_crash(crash(u64::MAX - number, now));
             SuspectCall::from_record(call(number), &record, now + Duration::from_millis(40))
         })
         .collect();
     let bytes = encode(&LinkMessage::Suspects(calls)).len();
-    assert!(bytes < MOST_BYTES_AN_END, "{bytes} bytes");
+    assert!(bytes < MAX_BYTES_PER_CRASH, "{bytes} bytes");
 }
 
 fn clock(now: Instant, wall_s: u64) -> ClockReading {
@@ -56,12 +57,13 @@
     }
 }
 
-/// A row is read by a host whose time of day is another than the writer's.
+/// Guards against a hold that is lost because the clock of the host that reads the
+/// row is ahead of the writer's or behind it.
 #[rstest]
 #[case::same(0)]
 #[case::ahead(3)]
 #[case::behind(-3)]
-fn a_row_says_what_was_known(#[case] reader_ahead_s: i64) {
+fn held_row_keeps_the_record_despite_clock_skew(#[case] reader_ahead_s: i64) {
     let now = Instant::now();
     let crashes = [0, 1_000, 2_000].map(|began_ms| {
         let began = now + Duration::from_millis(began_ms);
@@ -71,26 +73,26 @@
             ended: began + Duration::from_millis(40),
         }
     });
-    let written_at = now + Duration::from_mins(1);
+    let encoded_at = now + Duration::from_mins(1);
     let record = CallRecord::new(crashes.to_vec(), None, None);
-    let row = HeldRow::from_record(call(0), &record, &clock(written_at, 10_000));
-    let stored = StoreRow {
+    let row = HeldRow::from_record(call(0), &record, &clock(encoded_at, 10_000));
+    let store_row = StoreRow {
         key: held_row_key(call(0)),
         value: Some(row.value()),
         version: 1,
     };
-    let read = HeldRow::decode(&stored).expect("a row of a call");
-    assert_eq!(read, row);
+    let decoded = HeldRow::decode(&store_row).expect("a held row");
+    assert_eq!(decoded, row);
     let wall_s = 10_000_u64.saturating_add_signed(reader_ahead_s);
-    let known = read.to_record(&clock(written_at, wall_s));
-    assert_eq!(known.strikes(), 3);
-    assert!(known.is_held());
+    let record_read = decoded.to_record(&clock(encoded_at, wall_s));
+    assert_eq!(record_read.strikes(), 3);
+    assert!(record_read.is_held());
 }
 
 #[rstest]
 #[case::host("quoter", b"anything")]
 #[case::cut("held/0123", b"\x01")]
-fn other_rows_are_none(#[case] key: &str, #[case] value: &[u8]) {
+fn rows_of_hosts_and_malformed_rows_are_not_decoded(#[case] key: &str, #[case] value: &[u8]) {
     let row = StoreRow {
         key: key.to_owned(),
         value: Some(value.to_vec()),
--- a/tests/mesh_harmful.rs
+++ b/tests/mesh_harmful.rs
@@ -1,5 +1,5 @@
-//! Calls that end the targets that run them, and what becomes of the calls
-//! beside them.
+//! End-to-end tests of the quarantine: calls that crash the targets that run them
+//! are held back, and other calls are still served.
 
 #[path = "support/users.rs"]
 mod users;
@@ -12,17 +12,17 @@
 use tokio::task::JoinSet;
 use users::{eventually, fleet, Fleet, SETTLE_WITHIN};
 
-/// Time from the third end of a target within which all daemons know of it.
-const KNOWN_WITHIN: Duration = Duration::from_secs(3);
-/// Arrivals of a harmful call at targets after that.
-const MOST_ARRIVALS_AFTER: usize = 3;
-/// Arrivals of a call that is held back, within some seconds: one try when the
-/// first hold is over.
-const TRIES_AFTER_HOLD: usize = 1;
-/// Time that the harmful call's clients go on asking after that.
-const ASKED_ON_FOR: Duration = Duration::from_secs(5);
-/// Pause between two tries of the harmful call's clients.
-const ASKED_EVERY: Duration = Duration::from_millis(150);
+/// Time from the third crash within which all daemons know of it.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(3);
+/// Most runs of a harmful call, at all targets, after that time.
+const MAX_RUNS_ONCE_HELD: usize = 3;
+/// Most runs of a held call within [`KEEP_CALLING_FOR`]: one probe when the first
+/// hold ends.
+const MAX_PROBES: usize = 1;
+/// How long clients keep sending the harmful call once it is held.
+const KEEP_CALLING_FOR: Duration = Duration::from_secs(5);
+/// Interval at which clients send the harmful call.
+const CALL_INTERVAL: Duration = Duration::from_millis(150);
 
 fn routes() -> Vec<RouteSpec> {
     vec![
@@ -31,8 +31,9 @@
     ]
 }
 
-/// Two hosts that only call, and five with targets that `line` ends.
-async fn fleet_with_harmful(line: &str) -> Fleet {
+/// Starts two hosts that only call, and five with targets that crash when they run
+/// a call with the request line `line`.
+async fn start_fleet_with_harmful(line: &str) -> Fleet {
     let fleet = fleet(
         &routes(),
         &[
@@ -57,48 +58,52 @@
 }
 
 impl Fleet {
-    /// When runs of `line` began, at all targets, in order.
+    /// Start times of the runs of `line` at all targets, sorted.
     fn runs_of_line(&self, line: &str) -> Vec<Instant> {
         let runs = self.hosts.iter().flat_map(|host| host.target.runs());
-        let mut begun: Vec<Instant> = runs
+        let mut started: Vec<Instant> = runs
             .filter(|run| run.line == line)
             .map(|run| run.at)
             .collect();
-        begun.sort();
-        begun
+        started.sort();
+        started
     }
 }
 
-/// A harmful call: its line as a target records it, and its body.
+/// A call that crashes targets: its method and path as a target records them, and
+/// its body.
 struct HarmfulCase {
     line: &'static str,
     body: &'static str,
 }
 
-/// A customer looks up one proof again and again, at whichever shop's host is
-/// near. Each server that begins to work on it ends and is back a little later.
-/// The lookup goes on to the next server, and each new try starts from the
-/// beginning: all servers end in turn, with the work of everybody else. A server
-/// that ended was taken for one that lost an answer, the limits on repeats held
-/// for one try or one service, and no daemon remembered the call: within 5 s the
-/// lines `gate_ran ... call=223eff7b... verdict=lost reason="closed without an
-/// answer"` named one call 39 times, at every server.
+/// Guards against a call that crashes every target in turn, with all other calls
+/// that they run. Clients repeat the call at any host, and each target that starts
+/// it crashes and restarts a little later.
+///
+/// Seen when a crash was taken for a lost answer, retry limits were for one attempt
+/// or one service, and no daemon remembered the call: within 5 s one call was logged
+/// 39 times, by every target's daemon, as `gate_ran ... call=223eff7b...
+/// verdict=lost reason="closed without an answer"`.
 #[rstest]
 #[case::lookup(HarmfulCase { line: "GET /read/harmful", body: "" })]
 #[case::order(HarmfulCase { line: "POST /order/harmful", body: "sign" })]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_that_ends_three_targets_is_held_back_everywhere(#[case] case: HarmfulCase) {
-    let fleet = fleet_with_harmful(case.line).await;
-    let third_end = fleet.ask_until_held(&case).await;
-    let asked_until = third_end + KNOWN_WITHIN + ASKED_ON_FOR;
-    fleet.ask_until(&case, asked_until).await;
-    let late = fleet.runs_since(case.line, third_end + KNOWN_WITHIN);
-    assert!(late.len() <= MOST_ARRIVALS_AFTER, "more arrivals: {late:?}");
+async fn call_that_crashes_three_targets_is_held_on_all_hosts(#[case] case: HarmfulCase) {
+    let fleet = start_fleet_with_harmful(case.line).await;
+    let third_crash = fleet.call_until_held(&case).await;
+    let call_until = third_crash + PROPAGATION_TIMEOUT + KEEP_CALLING_FOR;
+    fleet.call_until(&case, call_until).await;
+    let late = fleet.runs_since(case.line, third_crash + PROPAGATION_TIMEOUT);
+    assert!(late.len() <= MAX_RUNS_ONCE_HELD, "too many runs: {late:?}");
 }
 
 impl Fleet {
-    /// Asks for `case` at one host after the other; each answer must be true.
-    async fn ask_until(&self, case: &HarmfulCase, until: Instant) {
+    /// Sends the call of `case` to one host after the other until `until`.
+    ///
+    /// # Panics
+    /// If a call that was answered with 503 has run.
+    async fn call_until(&self, case: &HarmfulCase, until: Instant) {
         let request = format!("{} HTTP/1.1", case.line);
         let mut number = 0;
         while Instant::now() < until {
@@ -107,31 +112,40 @@
             let id = format!("harmful-{until:?}-{number}");
             let answer = host.call(&request, &id, case.body.as_bytes()).await;
             if answer.is_some_and(|answer| answer.status == 503) {
-                assert_eq!(self.runs_of(&id), 0, "{id} was said not to have run");
+                assert_eq!(
+                    self.runs_of(&id),
+                    0,
+                    "{id} was answered with 503, but has run"
+                );
             }
-            tokio::time::sleep(ASKED_EVERY).await;
+            tokio::time::sleep(CALL_INTERVAL).await;
         }
     }
 
-    /// Asks for `case` until all daemons hold it back; when the third target
-    /// had ended under it by.
-    async fn ask_until_held(&self, case: &HarmfulCase) -> Instant {
+    /// Sends the call of `case` until all daemons hold it back, or until they had
+    /// [`PROPAGATION_TIMEOUT`] for it. Returns the time at which three runs of the
+    /// call were first seen.
+    ///
+    /// # Panics
+    /// If fewer than three runs are seen within [`SETTLE_WITHIN`], or if all daemons
+    /// take longer than that to hold the call.
+    async fn call_until_held(&self, case: &HarmfulCase) -> Instant {
         let started = Instant::now();
-        let mut third_end = None;
+        let mut third_crash = None;
         while started.elapsed() < SETTLE_WITHIN {
-            self.ask_until(case, Instant::now() + ASKED_EVERY).await;
+            self.call_until(case, Instant::now() + CALL_INTERVAL).await;
             if self.runs_of_line(case.line).len() >= 3 {
-                let third_end = *third_end.get_or_insert_with(Instant::now);
+                let third_crash = *third_crash.get_or_insert_with(Instant::now);
                 let is_held = |host: &Host| host.log().contains("event=call_held");
-                if self.hosts.iter().all(is_held) || third_end.elapsed() > KNOWN_WITHIN {
-                    return third_end;
+                if self.hosts.iter().all(is_held) || third_crash.elapsed() > PROPAGATION_TIMEOUT {
+                    return third_crash;
                 }
             }
         }
-        panic!("the call does not reach three targets");
+        panic!("the call did not reach three targets");
     }
 
-    /// How long after `since` runs of `line` began.
+    /// The runs of `line` that started at or after `since`, as times since then.
     fn runs_since(&self, line: &str, since: Instant) -> Vec<Duration> {
         let runs = self.runs_of_line(line).into_iter();
         runs.filter_map(|at| at.checked_duration_since(since))
@@ -144,27 +158,26 @@
     body: "",
 };
 
-/// What ends after a call is held back, and for whom the store is silent.
+/// Which daemons are killed after a call is held back, and the store's fault.
 struct LossCase {
-    /// Places of the hosts whose daemons are killed and start again.
+    /// Indexes of the hosts whose daemons are killed and restarted.
     killed: std::ops::Range<usize>,
     store: StoreFault,
 }
 
-/// A harmful lookup is held back. Then the daemons that saw it are gone: those
-/// beside the servers that ended, the one that is asked next, or all. The lookup
-/// comes again. What the daemons knew must not be gone with them, or three more
-/// servers end.
+/// Guards against a hold that is lost when daemons are killed and restarted: those
+/// of the crashed targets, the one that receives the call next, or all. Without the
+/// hold, three more targets would crash.
 #[rstest]
 #[case::those_of_the_targets(LossCase { killed: 2..7, store: StoreFault::None })]
 #[case::one_that_is_asked_then(LossCase { killed: 0..1, store: StoreFault::None })]
 #[case::all(LossCase { killed: 0..7, store: StoreFault::None })]
 #[case::those_of_the_targets_without_a_store(LossCase { killed: 2..7, store: StoreFault::Silent })]
 #[tokio::test(flavor = "multi_thread")]
-async fn a_held_call_stays_so_when_daemons_end(#[case] case: LossCase) {
-    let mut fleet = fleet_with_harmful(HARMFUL_LOOKUP.line).await;
+async fn hold_survives_restart_of_daemons(#[case] case: LossCase) {
+    let mut fleet = start_fleet_with_harmful(HARMFUL_LOOKUP.line).await;
     fleet.store.set_fault(case.store);
-    fleet.ask_until_held(&HARMFUL_LOOKUP).await;
+    fleet.call_until_held(&HARMFUL_LOOKUP).await;
     if case.store == StoreFault::None {
         let is_written = || async {
             let mut keys = fleet.store.keys("filbert-hosts").into_iter();
@@ -180,45 +193,46 @@
         host.start_daemon();
     }
     fleet
-        .ask_until(&HARMFUL_LOOKUP, killed + ASKED_ON_FOR)
+        .call_until(&HARMFUL_LOOKUP, killed + KEEP_CALLING_FOR)
         .await;
     let late = fleet.runs_since(HARMFUL_LOOKUP.line, killed);
-    assert!(late.len() <= TRIES_AFTER_HOLD, "more arrivals: {late:?}");
+    assert!(late.len() <= MAX_PROBES, "too many runs: {late:?}");
 }
 
-/// Guards against a held call that is let go by a store that comes back from an
-/// older copy.
+/// Guards against a hold that is lost when the store is restored from a backup that
+/// was made before the row of the held call.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_held_calls_row_outlives_an_older_copy_of_the_store() {
-    let fleet = fleet_with_harmful(HARMFUL_LOOKUP.line).await;
-    let copy = fleet.store.copy();
-    fleet.ask_until_held(&HARMFUL_LOOKUP).await;
+async fn held_row_is_written_again_after_restore_of_an_older_store() {
+    let fleet = start_fleet_with_harmful(HARMFUL_LOOKUP.line).await;
+    let backup = fleet.store.copy();
+    fleet.call_until_held(&HARMFUL_LOOKUP).await;
     let is_written = || async {
         let mut keys = fleet.store.keys("filbert-hosts").into_iter();
         keys.any(|key| key.starts_with("held/"))
     };
     assert!(eventually(SETTLE_WITHIN, is_written).await);
-    fleet.store.come_back_from(&copy);
+    fleet.store.come_back_from(&backup);
     assert!(!is_written().await);
     assert!(eventually(SETTLE_WITHIN, is_written).await, "written again");
 }
 
-/// Four of five servers end at one moment, as with the power of a rack. A lookup
-/// that many ask for was at work in all of them. It is no reason to refuse it.
+/// Guards against a hold on a popular call that was merely running on all targets
+/// that ended together. Four of five targets end at the same moment, as in a power
+/// failure of a rack.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_popular_call_is_served_after_many_targets_ended_at_once() {
+async fn popular_call_is_served_after_targets_end_together() {
     const POPULAR: &str = "GET /read/popular HTTP/1.1";
-    let fleet = fleet_with_harmful("GET /read/nobody-asks").await;
+    let fleet = start_fleet_with_harmful("GET /read/nobody-asks").await;
     for host in &fleet.hosts {
         host.target
             .set_conduct(Conduct::AnswersAfter(Duration::from_millis(200)));
     }
     for round in 0..3 {
-        let mut asked = JoinSet::new();
+        let mut clients = JoinSet::new();
         for number in 0..16 {
             let calls = fleet.hosts[number % 2].calls;
             let id = format!("popular-{round}-{number}");
-            asked.spawn(async move {
+            clients.spawn(async move {
                 Client::once(calls, POPULAR, &call_headers(&id), b"").await;
             });
         }
@@ -226,8 +240,8 @@
         for host in &fleet.hosts[3..] {
             host.target.end_now();
         }
-        asked.join_all().await;
-        // All but one of the servers are back by then.
+        clients.join_all().await;
+        // By then, the targets that ended are back.
         tokio::time::sleep(Duration::from_millis(1_500)).await;
         for number in 0..8 {
             let id = format!("after-{round}-{number}");
@@ -238,14 +252,14 @@
     }
 }
 
-/// The servers were mended: the lookup that ended them does no harm any more.
-/// The operator sees that it is held back, and lets it go.
+/// An operator lists the held calls, and releases one that crashes targets no
+/// longer, as they were fixed. All hosts must serve it soon after.
 #[tokio::test(flavor = "multi_thread")]
-async fn an_operator_sees_a_held_call_and_lets_it_go() {
-    let fleet = fleet_with_harmful(HARMFUL_LOOKUP.line).await;
+async fn operator_lists_and_releases_a_held_call() {
+    let fleet = start_fleet_with_harmful(HARMFUL_LOOKUP.line).await;
     let none = ctl(&fleet, &["held"]).await;
     assert_eq!(none.trim(), "no call is held back");
-    fleet.ask_until_held(&HARMFUL_LOOKUP).await;
+    fleet.call_until_held(&HARMFUL_LOOKUP).await;
     let is_listed = || async { ctl(&fleet, &["held"]).await.contains(" s ago") };
     assert!(eventually(SETTLE_WITHIN, is_listed).await);
     let listed = ctl(&fleet, &["held", "--output", "json"]).await;
@@ -266,17 +280,21 @@
             let answer = host.call(&request, "mended", b"").await;
             answer.is_some_and(|answer| answer.status == 200)
         };
-        assert!(eventually(KNOWN_WITHIN, is_served).await, "{}", host.log());
+        assert!(
+            eventually(PROPAGATION_TIMEOUT, is_served).await,
+            "{}",
+            host.log()
+        );
     }
     let is_gone = || async { ctl(&fleet, &["held"]).await.trim() == "no call is held back" };
     assert!(eventually(SETTLE_WITHIN, is_gone).await);
 }
 
-/// What `filbertctl mesh` prints.
-async fn ctl(fleet: &Fleet, words: &[&str]) -> String {
+/// Runs `filbertctl mesh` with `arguments` and returns its standard output.
+async fn ctl(fleet: &Fleet, arguments: &[&str]) -> String {
     let output = tokio::process::Command::new(env!("CARGO_BIN_EXE_filbertctl"))
         .args(["mesh", "--store", &fleet.store.address.to_string()])
-        .args(words)
+        .args(arguments)
         .output()
         .await
         .expect("it runs");
