--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -4,7 +4,7 @@
 //! run at a time to the target's slots, runs them, and tracks the target's
 //! instance, health and run times.
 
-mod end;
+mod crash;
 mod run;
 mod wait;
 
