--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -129,7 +129,8 @@
         })
     }
 
-    /// Applies reloaded settings: the target's address and the time limits.
+    /// Applies reloaded settings: the target's address, the drain time and the
+    /// interval of its reports.
     pub fn apply_settings(&self, address: SocketAddr, times: &TimeSettings) {
         self.address.set(address);
         self.drain_time.set(times.drain);
@@ -199,8 +200,8 @@
         change
     }
 
-    /// Marks instance `key` as leaving since before this daemon started, as peers
-    /// told.
+    /// Marks instance `key` as leaving since before this daemon started, as its
+    /// peers reported.
     pub fn mark_left_before_restart(&self, key: &InstanceKey) {
         let now = self.clock.now();
         self.state
--- a/crates/mesh/src/gate/run.rs
+++ b/crates/mesh/src/gate/run.rs
@@ -63,7 +63,7 @@
             None => String::new(),
         };
         let started = self.clock.now();
-        let watch = self.watch(call);
+        let observation = self.observe_run(call);
         let params = ExchangeParams {
             address: self.address.get(),
             instance: &instance,
@@ -80,16 +80,16 @@
             received,
             started,
         };
-        let (reply, body, told) = self.evaluate(&run, outcome).await;
-        if let Some(watch) = watch {
-            watch.end(told);
+        let (reply, body, counted_outcome) = self.evaluate(&run, outcome).await;
+        if let Some(observation) = observation {
+            observation.end(counted_outcome);
         }
         (reply, body)
     }
 
-    /// Starts counting the run for the roll-out of the target's service; `None` if
+    /// Starts observing a run of `call` for the roll-out of its service; `None` if
     /// there is no roll-out.
-    fn watch(&self, call: &CallHead) -> Option<RunWatch> {
+    fn observe_run(&self, call: &CallHead) -> Option<RunWatch> {
         self.rollouts.is_watching(&call.service).then(|| {
             let usual = call.usual_run.map(|usual| RunTime::from(usual).mean);
             RunWatch::new(&self.rollouts, &self.clock, &call.kind, usual)
@@ -108,7 +108,7 @@
             ExchangeOutcome::Answer(head, body) => {
                 let time_to_head = self.clock.now().saturating_duration_since(run.started);
                 self.record_answer(run, &head, time_to_head);
-                let told = if head.status < FIRST_FAILURE_STATUS {
+                let counted_outcome = if head.status < FIRST_FAILURE_STATUS {
                     RunTold::Success
                 } else {
                     RunTold::Failure
@@ -127,7 +127,7 @@
                 } else {
                     AnswerBody::Ahead(AheadBody::start(body, &self.answer_buffer_kib))
                 };
-                (reply, body, told)
+                (reply, body, counted_outcome)
             }
             ExchangeOutcome::NotConnected(error) => {
                 let reply = self.record_unreachable(run, &error);
@@ -146,13 +146,13 @@
                 let crash = self
                     .record_crash_if_ended(run.call.identity, run.started)
                     .await;
-                let (verdict, told) = if crash.is_some() {
+                let (verdict, counted_outcome) = if crash.is_some() {
                     ("target_ended", RunTold::Nothing)
                 } else {
                     ("lost", RunTold::Failure)
                 };
                 self.record_failure(run, verdict, reason);
-                (self.lost_reply(crash), none, told)
+                (self.lost_reply(crash), none, counted_outcome)
             }
         }
     }
