--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -227,7 +227,7 @@
 
     /// Returns whether the target is open, leaving roll-outs out of account.
     #[must_use]
-    pub fn accepts_calls(&self) -> bool {
+    pub fn is_open_without_rollouts(&self) -> bool {
         self.state_without_rollouts(&self.state.borrow(), self.clock.now()) == TargetState::Open
     }
 
--- a/crates/mesh/src/rollouts/spread.rs
+++ b/crates/mesh/src/rollouts/spread.rs
@@ -65,7 +65,7 @@
             sequence,
             zone: settings.zone.clone(),
             known: self.rollouts.known_step(&status.service),
-            is_open: self.gate.accepts_calls(),
+            is_open: self.gate.is_open_without_rollouts(),
             at_work: self.gate.calls_in_progress(),
             software: status.software,
             service: status.service,
