--- a/crates/mesh/src/calls/dispatch.rs
+++ b/crates/mesh/src/calls/dispatch.rs
@@ -178,7 +178,7 @@
                         self.shared
                             .note_answer(&self.route.name, body_length, time_to_head);
                         if matches!(body, AnswerBody::Whole(_)) {
-                            self.shared.quarantine.ran_well(self.head.identity);
+                            self.shared.quarantine.record_success(self.head.identity);
                         }
                     }
                     return ClientAnswer::Target(head, body);
--- a/crates/mesh/src/ingress/mod.rs
+++ b/crates/mesh/src/ingress/mod.rs
@@ -24,7 +24,7 @@
 use crate::sockets;
 use crate::state::MeshShared;
 use crate::stop::CallMark;
-use crate::target::chunk;
+use crate::target::encode_chunk;
 use bodies::{call_identity, forward_body, read_body};
 
 /// Maximum number of calls of one connection that are handled at the same time.
@@ -373,7 +373,7 @@
                 egress.pace(bytes, remaining.max(bytes), due).await;
                 remaining = remaining.saturating_sub(bytes);
                 if is_chunked {
-                    writer.write_all(&chunk(&data)).await?;
+                    writer.write_all(&encode_chunk(&data)).await?;
                 } else {
                     writer.write_all(&data).await?;
                 }
--- a/crates/mesh/src/news.rs
+++ b/crates/mesh/src/news.rs
@@ -287,7 +287,7 @@
             }
         }
         LinkMessage::HostsChanged(changes) => shared.take_changes(changes, from),
-        LinkMessage::Suspects(calls) => shared.quarantine.hear(&calls, from),
+        LinkMessage::Suspects(calls) => shared.quarantine.merge_suspects(&calls, from),
         LinkMessage::Rollouts(news) => shared.merge_rollouts(&news, from),
         LinkMessage::VersionConfirmation(confirmation) => {
             shared.record_upstream_confirmation(confirmation, peer);
--- a/crates/mesh/src/organisations/mod.rs
+++ b/crates/mesh/src/organisations/mod.rs
@@ -101,12 +101,12 @@
             next_request_id: Cell::new(0),
             counts: OrganisationCounts::default(),
         };
-        state.set_terms(settings);
+        state.apply_settings(settings);
         Rc::new(state)
     }
 
     /// Applies changed settings.
-    pub fn set_terms(&self, settings: &MeshSettings) {
+    pub fn apply_settings(&self, settings: &MeshSettings) {
         let within = settings.withdrawal.map(|withdrawal| withdrawal.within);
         self.max_version_age.set(within);
     }
--- a/crates/mesh/src/rollouts/replication.rs
+++ b/crates/mesh/src/rollouts/replication.rs
@@ -69,8 +69,8 @@
             sequence,
             zone: settings.zone.clone(),
             known_step: self.rollouts.known_step(&status.service),
-            accepts_calls: self.gate.would_take(),
-            calls_in_progress: self.gate.in_work(),
+            accepts_calls: self.gate.is_open_without_rollouts(),
+            calls_in_progress: self.gate.calls_in_progress(),
             software: status.software,
             service: status.service,
             kinds,
@@ -117,7 +117,7 @@
 pub async fn apply_stages_to_gate(shared: Rc<MeshShared>) {
     loop {
         shared.rollouts.stage_changed.notified().await;
-        shared.gate.rollout_changed();
+        shared.gate.apply_rollout_change();
     }
 }
 
--- a/crates/mesh/src/serve_peers/news.rs
+++ b/crates/mesh/src/serve_peers/news.rs
@@ -171,7 +171,9 @@
             None
         }
         LinkMessage::Suspects(calls) => {
-            shared.quarantine.hear(&calls, "a daemon linked here");
+            shared
+                .quarantine
+                .merge_suspects(&calls, "a daemon linked here");
             None
         }
         LinkMessage::Rollouts(news) => {
