--- a/crates/mesh/src/asking.rs
+++ b/crates/mesh/src/asking.rs
@@ -41,7 +41,7 @@
 /// times 600 KB over 21 Mbit/s. Its links fell silent for three seconds, and
 /// the next version came late behind the copies.
 #[derive(Debug, Default)]
-pub struct WholeSlot {
+pub struct FullTextSlot {
     held: Cell<Option<HeldSlot>>,
     next_ticket: Cell<u64>,
 }
@@ -52,12 +52,12 @@
     until: Instant,
 }
 
-impl WholeSlot {
+impl FullTextSlot {
     /// Takes the slot.
     ///
     /// # Errors
     /// When it may be free again, while another ask holds it.
-    pub fn take(&self, now: Instant) -> Result<WholeAsk<'_>, Instant> {
+    pub fn take(&self, now: Instant) -> Result<FullTextRequest<'_>, Instant> {
         if let Some(held) = self.held.get() {
             if now < held.until {
                 return Err(held.until);
@@ -67,18 +67,18 @@
         self.next_ticket.set(ticket);
         let until = now + WHOLE_PIECE_WITHIN;
         self.held.set(Some(HeldSlot { ticket, until }));
-        Ok(WholeAsk { slot: self, ticket })
+        Ok(FullTextRequest { slot: self, ticket })
     }
 }
 
 /// An ask for a whole text; dropped when it was answered or its link ended.
 #[derive(Debug)]
-pub struct WholeAsk<'a> {
-    slot: &'a WholeSlot,
+pub struct FullTextRequest<'a> {
+    slot: &'a FullTextSlot,
     ticket: u64,
 }
 
-impl WholeAsk<'_> {
+impl FullTextRequest<'_> {
     /// Until when it holds the slot; `None` when another took it over.
     fn held_until(&self) -> Option<Instant> {
         let held = self.slot.held.get()?;
@@ -96,7 +96,7 @@
     }
 }
 
-impl Drop for WholeAsk<'_> {
+impl Drop for FullTextRequest<'_> {
     fn drop(&mut self) {
         if self.held_until().is_some() {
             self.slot.held.set(None);
@@ -108,7 +108,7 @@
 struct WantedVersion {
     number: u64,
     /// When to ask for it, if it has not come from elsewhere.
-    ask_at: Instant,
+    next_request_at: Instant,
     stage: AskStage,
 }
 
@@ -126,18 +126,18 @@
 }
 
 /// Asks one peer for its versions.
-pub struct VersionAsker<'a> {
+pub struct VersionFetcher<'a> {
     shared: &'a MeshShared,
     peer: &'a Peer,
     wanted: Option<WantedVersion>,
-    whole: Option<WholeAsk<'a>>,
+    whole: Option<FullTextRequest<'a>>,
 }
 
-impl<'a> VersionAsker<'a> {
+impl<'a> VersionFetcher<'a> {
     /// An asker that wants nothing yet.
     #[must_use]
-    pub fn new(shared: &'a MeshShared, peer: &'a Peer) -> VersionAsker<'a> {
-        VersionAsker {
+    pub fn new(shared: &'a MeshShared, peer: &'a Peer) -> VersionFetcher<'a> {
+        VersionFetcher {
             shared,
             peer,
             wanted: None,
@@ -161,22 +161,22 @@
 
     /// Takes word that the peer has no steps to its version, or only steps too
     /// heavy for a link.
-    pub fn lacks_steps(&mut self, are_heavy: bool) {
+    pub fn record_missing_steps(&mut self, are_heavy: bool) {
         let head_start = if are_heavy {
             Duration::ZERO
         } else {
             OTHERS_HEAD_START
         };
-        let ask_at = self.shared.clock.now() + head_start;
+        let next_request_at = self.shared.clock.now() + head_start;
         if let Some(wanted) = &mut self.wanted {
-            wanted.ask_at = ask_at;
+            wanted.next_request_at = next_request_at;
             wanted.stage = AskStage::Store;
         }
     }
 
     /// Notes that the peer answered with steps or a text; what it has beyond
     /// is asked for anew.
-    pub fn take_answer(&mut self) {
+    pub fn record_response(&mut self) {
         self.whole = None;
         self.wanted = match self.wanted.take() {
             Some(wanted) if wanted.number > self.shared.versions.number() => {
@@ -188,20 +188,20 @@
 
     /// Notes that part of a message came from the peer: a text that was asked
     /// for is under way, however slowly.
-    pub fn take_part(&self) {
+    pub fn record_partial_message(&self) {
         if let Some(ask) = &self.whole {
             ask.go_on(self.shared.clock.now());
         }
     }
 
     /// When to ask next; `None` while nothing is wanted of the peer.
-    pub fn ask_at(&mut self) -> Option<Instant> {
+    pub fn next_request_at(&mut self) -> Option<Instant> {
         let number = self.shared.versions.number();
         self.wanted.take_if(|wanted| wanted.number <= number);
         if self.wanted.is_none() {
             self.whole = None;
         }
-        self.wanted.as_ref().map(|wanted| wanted.ask_at)
+        self.wanted.as_ref().map(|wanted| wanted.next_request_at)
     }
 
     /// What to ask the peer for now; `None` when the store is asked, or another
@@ -212,7 +212,7 @@
     /// away, it is waited for.
     pub fn ask(&mut self) -> Option<LinkMessage> {
         // It may have come from elsewhere while it was waited for.
-        self.ask_at()?;
+        self.next_request_at()?;
         let versions = &self.shared.versions;
         let now = self.shared.clock.now();
         let wanted = self.wanted.as_mut()?;
@@ -222,30 +222,30 @@
             AskStage::Whole => !versions.store_is_away.get(),
         };
         if asks_store {
-            versions.wanted.notify_one();
+            versions.store_query_requested.notify_one();
             wanted.stage = AskStage::Whole;
-            wanted.ask_at = now + WHOLE_HEAD_START;
+            wanted.next_request_at = now + WHOLE_HEAD_START;
             return None;
         }
         let or_whole = matches!(wanted.stage, AskStage::Whole | AskStage::First);
         if or_whole {
             // Its text is still under way, or its time is over.
-            let held = self.whole.as_ref().and_then(WholeAsk::held_until);
+            let held = self.whole.as_ref().and_then(FullTextRequest::held_until);
             if let Some(until) = held.filter(|until| now < *until) {
-                wanted.ask_at = until;
+                wanted.next_request_at = until;
                 return None;
             }
             self.whole = None;
-            match versions.whole_slot.take(now) {
+            match versions.full_text_slot.take(now) {
                 Ok(ask) => self.whole = Some(ask),
                 Err(free_at) => {
-                    wanted.ask_at = free_at;
+                    wanted.next_request_at = free_at;
                     return None;
                 }
             }
         }
         // Asked again only behind an answer that did not help.
-        wanted.ask_at = now + LONGEST_ASK;
+        wanted.next_request_at = now + LONGEST_ASK;
         log::info!(
             "event=version_asked peer={} have={:08x} wanted={:08x} whole={or_whole}",
             self.peer.address.id,
@@ -280,7 +280,7 @@
         };
         WantedVersion {
             number,
-            ask_at: shared.clock.now() + head_start,
+            next_request_at: shared.clock.now() + head_start,
             stage: if has_none {
                 AskStage::First
             } else {
--- a/crates/mesh/src/calls/place.rs
+++ b/crates/mesh/src/calls/place.rs
@@ -201,7 +201,7 @@
     async fn await_links(&self) {
         let service = self.head.service.as_str();
         let now = self.shared.clock.now();
-        if !self.shared.members.note_call(service, now) {
+        if !self.shared.members.record_service_call(service, now) {
             return;
         }
         let until = self.limit.min(now + FIRST_LINK_WITHIN);
--- a/crates/mesh/src/feeds.rs
+++ b/crates/mesh/src/feeds.rs
@@ -80,12 +80,12 @@
 }
 
 /// Follows the operator's configuration. Runs for ever.
-pub async fn follow_configuration(shared: Rc<MeshShared>) {
+pub async fn watch_configuration(shared: Rc<MeshShared>) {
     follow(shared, FeedSubject::Configuration).await;
 }
 
 /// Follows the members. Runs for ever.
-pub async fn follow_members(shared: Rc<MeshShared>) {
+pub async fn watch_members(shared: Rc<MeshShared>) {
     follow(shared, FeedSubject::Membership).await;
 }
 
@@ -188,7 +188,7 @@
         .is_ok()
     {
         // Whether this host has a row was not seen.
-        shared.members.rows.miss_own();
+        shared.members.rows.mark_own_unregistered();
         return;
     }
     while !shared.members.is_known.get() {
@@ -262,7 +262,7 @@
 ) {
     tokio::select! {
         _ = role.wait_for(|role| *role == StoreRole::Reads) => state.skip_history(shared),
-        () = shared.versions.wanted.notified(), if state.subject == FeedSubject::Configuration => {
+        () = shared.versions.store_query_requested.notified(), if state.subject == FeedSubject::Configuration => {
             state.skip_history(shared);
             ask_once(shared, state).await;
         }
--- a/crates/mesh/src/feeds/take.rs
+++ b/crates/mesh/src/feeds/take.rs
@@ -32,9 +32,9 @@
             if listed.contains(&shared.own_address()) {
                 shared.see_own_row();
             } else {
-                shared.members.rows.miss_own();
+                shared.members.rows.mark_own_unregistered();
             }
-            shared.take_members(listed, "store");
+            shared.apply_member_list(listed, "store");
         }
     }
 }
@@ -46,7 +46,10 @@
     let is_back = shared.members.rows.was_removed(id) && !answers;
     if is_back {
         log::info!("event=removed_host_listed host={id}");
-        shared.members.rows.want(RowChange::Remove(id.to_owned()));
+        shared
+            .members
+            .rows
+            .enqueue_change(RowChange::Remove(id.to_owned()));
     }
     is_back
 }
@@ -63,7 +66,7 @@
     }
     match decode_member(row) {
         Some(address) if address == shared.own_address() => shared.see_own_row(),
-        Some(address) => shared.learn_host(address, "store"),
+        Some(address) => shared.upsert_host(address, "store"),
         None => shared.row_is_gone(&row.key, "store"),
     }
 }
@@ -75,7 +78,7 @@
         return;
     }
     match row.value {
-        Some(value) => shared.offer_version(&Bytes::from(value), "store"),
+        Some(value) => shared.apply_version(&Bytes::from(value), "store"),
         None => log::error!("event=configuration_missing"),
     }
 }
--- a/crates/mesh/src/held_rows.rs
+++ b/crates/mesh/src/held_rows.rs
@@ -146,7 +146,9 @@
             };
             let is_remembered = self.quarantine.hear_row(&held);
             if !is_remembered && self.members.is_source() {
-                self.members.rows.want(RowChange::Remove(key_of(held.call)));
+                self.members
+                    .rows
+                    .enqueue_change(RowChange::Remove(key_of(held.call)));
             }
         }
     }
@@ -159,7 +161,7 @@
         }
         for call in calls {
             if let Some(change) = self.quarantine.row_change(*call) {
-                self.members.rows.want(change);
+                self.members.rows.enqueue_change(change);
             }
         }
     }
--- a/crates/mesh/src/links.rs
+++ b/crates/mesh/src/links.rs
@@ -103,7 +103,7 @@
         if was_up.get() {
             pause = FIRST_PAUSE;
             down_since = now;
-            shared.link_went_down(&peer.address.id);
+            shared.handle_link_down(&peer.address.id);
             log::info!("event=link_down peer={} reason=\"{end}\"", peer.address.id);
         } else {
             pause = (pause * 2).min(LONGEST_PAUSE);
--- a/crates/mesh/src/members.rs
+++ b/crates/mesh/src/members.rs
@@ -46,7 +46,7 @@
 }
 
 /// The hosts known, and the plan made of them.
-pub struct MemberBook {
+pub struct MemberTable {
     /// The other hosts.
     hosts: RefCell<BTreeMap<String, PeerAddress>>,
     /// Hosts whose row is gone and whose daemon still answers.
@@ -73,9 +73,9 @@
     untold_since: Cell<Option<Instant>>,
 }
 
-impl Default for MemberBook {
+impl Default for MemberTable {
     fn default() -> Self {
-        MemberBook {
+        MemberTable {
             hosts: RefCell::default(),
             rowless: RefCell::default(),
             plan: RefCell::default(),
@@ -92,7 +92,7 @@
     }
 }
 
-impl MemberBook {
+impl MemberTable {
     /// Number of hosts, this one included.
     #[must_use]
     pub fn count(&self) -> usize {
@@ -119,7 +119,7 @@
 
     /// Notes a call to `service`; true when it is not linked to yet, which is
     /// asked for.
-    pub fn note_call(&self, service: &str, now: Instant) -> bool {
+    pub fn record_service_call(&self, service: &str, now: Instant) -> bool {
         let mut called = self.called.borrow_mut();
         match called.get_mut(service) {
             Some(last) => *last = now,
@@ -136,7 +136,7 @@
 
     /// The services called of late, the latest first.
     #[must_use]
-    pub fn called_of_late(&self, now: Instant) -> Vec<String> {
+    pub fn recently_called_services(&self, now: Instant) -> Vec<String> {
         let mut called = self.called.borrow_mut();
         called.retain(|_, last| now < *last + CALLED_OF_LATE);
         let mut latest: Vec<_> = called.iter().collect();
@@ -176,11 +176,11 @@
 
 impl MeshShared {
     /// Adds a host or takes over its new address.
-    pub fn learn_host(&self, address: PeerAddress, from: &str) {
+    pub fn upsert_host(&self, address: PeerAddress, from: &str) {
         let own = self.own_address();
         if address.id == own.id {
             if address != own {
-                self.members.rows.miss_own();
+                self.members.rows.mark_own_unregistered();
             }
             return;
         }
@@ -206,16 +206,16 @@
 
     /// Notes that this host's row is in the store, and right.
     pub fn see_own_row(&self) {
-        if self.members.rows.see_own() {
+        if self.members.rows.mark_own_registered() {
             self.members.changed.notify_one();
         }
     }
 
     /// Takes over changes of hosts told by `from`.
-    pub fn take_changes(&self, changes: HostChanges, from: &str) {
+    pub fn apply_host_changes(&self, changes: HostChanges, from: &str) {
         let passes_on = self.passes_on(from);
         for address in changes.came {
-            self.learn_host(address, from);
+            self.upsert_host(address, from);
         }
         for id in &changes.gone {
             if passes_on {
@@ -254,7 +254,7 @@
             match change {
                 RowChange::Write(address) if *address == self.own_address() => self.see_own_row(),
                 RowChange::Write(address) => {
-                    self.learn_host(address.clone(), "store");
+                    self.upsert_host(address.clone(), "store");
                     self.pass_listed(&address.id);
                 }
                 RowChange::Remove(key) if is_held_key(key) => {}
@@ -276,7 +276,7 @@
     /// a host that is taken away removes its row just before its daemon ends.
     pub fn forget_host(&self, id: &str, from: &str) {
         if id == self.settings.borrow().id {
-            self.members.rows.miss_own();
+            self.members.rows.mark_own_unregistered();
             return;
         }
         if self.peers.get(id).is_some_and(|peer| peer.is_linked()) {
@@ -292,19 +292,19 @@
     /// Guards against a host that seems to live on in the one that has its
     /// address now: two such hosts were the readers of a zone, its 70 daemons
     /// waited to be told by them, and each asked the store by itself meanwhile.
-    pub fn host_was_replaced(&self, lost: &PeerAddress, other: PeerAddress) {
+    pub fn handle_host_replaced(&self, lost: &PeerAddress, other: PeerAddress) {
         log::info!("event=host_replaced host={} by={}", lost.id, other.id);
         // It may have moved meanwhile, and be found elsewhere.
         let is_known_there = self.members.hosts.borrow().get(&lost.id) == Some(lost);
         if is_known_there {
-            self.see_to_row(RowChange::Remove(lost.id.clone()), false);
+            self.request_row_change(RowChange::Remove(lost.id.clone()), false);
             self.drop_host(&lost.id, "replaced");
         }
-        self.learn_host(other, "replaced");
+        self.upsert_host(other, "replaced");
     }
 
     /// Takes note that the link to a host is down.
-    pub fn link_went_down(&self, id: &str) {
+    pub fn handle_link_down(&self, id: &str) {
         if self.members.rowless.borrow_mut().remove(id) {
             self.drop_host(id, "link_down");
         }
@@ -320,7 +320,7 @@
 
     /// Takes over a whole list of hosts, and tells those told by this daemon
     /// who is not on it.
-    pub fn take_members(&self, listed: Vec<PeerAddress>, from: &str) {
+    pub fn apply_member_list(&self, listed: Vec<PeerAddress>, from: &str) {
         log::info!("event=members_taken hosts={} from={from}", listed.len());
         let own = self.own_address();
         let gone: Vec<String> = self
@@ -336,7 +336,7 @@
         }
         for address in listed {
             if address.id != own.id {
-                self.learn_host(address, from);
+                self.upsert_host(address, from);
             }
         }
         if !self.members.is_known.replace(true) {
--- a/crates/mesh/src/members/tell.rs
+++ b/crates/mesh/src/members/tell.rs
@@ -25,7 +25,7 @@
     }
 
     /// Tells the daemons that follow this one.
-    pub fn tell_followers(&self, message: &LinkMessage) {
+    pub fn send_to_followers(&self, message: &LinkMessage) {
         let zone = self.settings.borrow().zone.clone();
         self.peers.broadcast_to_followers(&zone, &encode(message));
     }
@@ -56,10 +56,10 @@
         }
         if changes.came.len() > MOST_CAME {
             changes.came.clear();
-            self.tell_followers(&LinkMessage::MembersSum(self.members_sum()));
+            self.send_to_followers(&LinkMessage::MembersSum(self.members_sum()));
         }
         if changes != HostChanges::default() {
-            self.tell_followers(&LinkMessage::HostsChanged(changes));
+            self.send_to_followers(&LinkMessage::HostsChanged(changes));
         }
     }
 
@@ -76,7 +76,7 @@
         }
         if state.is_current() {
             // Those that linked here before were not told whom it knows.
-            self.tell_followers(&LinkMessage::MembersSum(self.members_sum()));
+            self.send_to_followers(&LinkMessage::MembersSum(self.members_sum()));
         }
         self.peers.broadcast(&encode(&LinkMessage::Store(state)));
     }
--- a/crates/mesh/src/news.rs
+++ b/crates/mesh/src/news.rs
@@ -11,7 +11,7 @@
 use h2::{RecvStream, SendStream};
 use http::Request;
 
-use crate::asking::VersionAsker;
+use crate::asking::VersionFetcher;
 use crate::body::next_data;
 use crate::links::{LinkError, NEWS_PATH, OPEN_TIMEOUT};
 use crate::messages::{encode, take, LinkMessage, TargetState, TargetStatus};
@@ -39,7 +39,7 @@
         shared,
         peer,
         outgoing,
-        asker: VersionAsker::new(shared, peer),
+        asker: VersionFetcher::new(shared, peer),
         members_due: None,
         was_up,
     };
@@ -85,7 +85,7 @@
     shared: &'a Rc<MeshShared>,
     peer: &'a Rc<Peer>,
     outgoing: SendStream<Bytes>,
-    asker: VersionAsker<'a>,
+    asker: VersionFetcher<'a>,
     /// When the list of hosts behind a checksum is asked for, if it is still
     /// another than this daemon's.
     members_due: Option<(Instant, u64)>,
@@ -100,7 +100,7 @@
             while let Some(message) = self.peer.next_unsent() {
                 self.say(&message)?;
             }
-            let ask_at = self.asker.ask_at();
+            let next_request_at = self.asker.next_request_at();
             let members_at = self.members_due.map(|(at, _)| at);
             tokio::select! {
                 data = next_data(&mut incoming) => match data {
@@ -112,7 +112,7 @@
                     None => return Ok(()),
                 },
                 () = self.peer.has_unsent.notified() => {}
-                () = until(ask_at) => {
+                () = until(next_request_at) => {
                     if let Some(ask) = self.asker.ask() {
                         self.say(&ask)?;
                     }
@@ -136,7 +136,7 @@
             self.take_message(message)?;
         }
         if !buffer.is_empty() {
-            self.asker.take_part();
+            self.asker.record_partial_message();
         }
         Ok(())
     }
@@ -160,23 +160,23 @@
                 self.asker.hear(version);
             }
             LinkMessage::Steps { steps } => {
-                if !self.shared.offer_steps(&steps, from) {
-                    self.shared.versions.wanted.notify_one();
+                if !self.shared.apply_steps(&steps, from) {
+                    self.shared.versions.store_query_requested.notify_one();
                 }
-                self.asker.take_answer();
+                self.asker.record_response();
             }
             LinkMessage::Version { deflated } => {
-                self.shared.offer_deflated(&deflated, from);
-                self.asker.take_answer();
+                self.shared.apply_deflated_version(&deflated, from);
+                self.asker.record_response();
             }
-            LinkMessage::NoSteps { are_heavy } => self.asker.lacks_steps(are_heavy),
+            LinkMessage::NoSteps { are_heavy } => self.asker.record_missing_steps(are_heavy),
             LinkMessage::MembersSum(sum) => {
                 let is_other = sum != self.shared.members_sum();
                 let at = self.shared.clock.now() + MEMBERS_SETTLE;
                 self.members_due = is_other.then_some((at, sum));
             }
             LinkMessage::NotHere(other) => {
-                self.shared.host_was_replaced(&self.peer.address, other);
+                self.shared.handle_host_replaced(&self.peer.address, other);
                 return Err(LinkError::Replaced);
             }
             LinkMessage::WantMembers => self.say(&self.shared.member_list())?,
@@ -265,19 +265,19 @@
                 // What this daemon read itself tells who is gone; the list may
                 // still hold hosts that came since, when it is about to follow.
                 for host in hosts {
-                    shared.learn_host(host, from);
+                    shared.upsert_host(host, from);
                 }
             } else {
-                shared.take_members(hosts, from);
+                shared.apply_member_list(hosts, from);
             }
         }
         LinkMessage::HeavyVersion => {
             if shared.follows() {
                 log::info!("event=heavy_version_coming from={from}");
-                shared.versions.wanted.notify_one();
+                shared.versions.store_query_requested.notify_one();
             }
         }
-        LinkMessage::HostsChanged(changes) => shared.take_changes(changes, from),
+        LinkMessage::HostsChanged(changes) => shared.apply_host_changes(changes, from),
         LinkMessage::Suspects(calls) => shared.quarantine.hear(&calls, from),
         LinkMessage::Rollouts(news) => shared.hear_rollouts(&news, from),
         LinkMessage::VersionAge(told) => shared.hear_age(told, peer),
--- a/crates/mesh/src/organisations/age.rs
+++ b/crates/mesh/src/organisations/age.rs
@@ -100,7 +100,7 @@
 
     fn tell_age(&self) {
         if let (Some(age), true) = (self.version_age(), self.members.is_reader()) {
-            self.tell_followers(&age);
+            self.send_to_followers(&age);
         }
     }
 }
--- a/crates/mesh/src/plan.rs
+++ b/crates/mesh/src/plan.rs
@@ -133,7 +133,7 @@
             lost_store: false,
             is_registered: self.members.rows.was_own_seen(),
         };
-        let called = self.members.called_of_late(self.clock.now());
+        let called = self.members.recently_called_services(self.clock.now());
         let called: Vec<&str> = called.iter().map(String::as_str).collect();
         let limits = LinkLimits {
             services: self.settings.borrow().link.services,
@@ -178,7 +178,7 @@
 }
 
 /// Plans links anew whenever something changes. Runs for ever.
-pub async fn keep_planned(shared: Rc<MeshShared>) {
+pub async fn maintain_link_plan(shared: Rc<MeshShared>) {
     loop {
         shared.plan_anew();
         let look_again = shared.take_role().unwrap_or(PLAN_AT_LEAST);
--- a/crates/mesh/src/reload.rs
+++ b/crates/mesh/src/reload.rs
@@ -68,6 +68,6 @@
     *shared.settings.borrow_mut() = Rc::new(settings);
     shared.members.changed.notify_one();
     if shared.own_address() != address {
-        shared.members.rows.miss_own();
+        shared.members.rows.mark_own_unregistered();
     }
 }
--- a/crates/mesh/src/rows.rs
+++ b/crates/mesh/src/rows.rs
@@ -64,14 +64,14 @@
 
 impl RowBook {
     /// Notes that this host's row is missing or wrong.
-    pub fn miss_own(&self) {
+    pub fn mark_own_unregistered(&self) {
         self.is_own_seen.set(false);
         self.own_missing.notify_one();
         self.own_changed.notify_waiters();
     }
 
     /// Notes that this host's row is there; whether that is news.
-    pub fn see_own(&self) -> bool {
+    pub fn mark_own_registered(&self) -> bool {
         self.was_own_seen.set(true);
         let is_news = !self.is_own_seen.replace(true);
         if is_news {
@@ -120,7 +120,7 @@
     }
 
     /// Has a change made by this daemon.
-    pub fn want(&self, change: RowChange) {
+    pub fn enqueue_change(&self, change: RowChange) {
         let id = change.key();
         self.wanted.borrow_mut().insert(id, change);
         self.has_wanted.notify_one();
@@ -152,7 +152,7 @@
     /// Sees to a change of a row: here, if this daemon asks the store, or by a
     /// daemon that tells it what lies there. `is_passed_on` says whether another
     /// daemon asked for it.
-    pub fn see_to_row(&self, change: RowChange, is_passed_on: bool) {
+    pub fn request_row_change(&self, change: RowChange, is_passed_on: bool) {
         // One that asks the store itself first, else one that is told.
         let upstream = self
             .linked_upstreams()
@@ -165,13 +165,13 @@
         };
         let is_seen_to = self.follows() && upstream.is_some_and(|upstream| upstream.say(message));
         if !is_seen_to {
-            self.members.rows.want(change);
+            self.members.rows.enqueue_change(change);
         }
     }
 }
 
 /// Makes the changes of rows that this daemon sees to. Runs for ever.
-pub async fn keep_written(shared: Rc<MeshShared>) {
+pub async fn run_row_writer(shared: Rc<MeshShared>) {
     let rows = &shared.members.rows;
     let mut failures = 0;
     loop {
@@ -246,7 +246,7 @@
 }
 
 /// Has this host's row written whenever it is missing or wrong. Runs for ever.
-pub async fn keep_own(shared: Rc<MeshShared>) {
+pub async fn maintain_own_row(shared: Rc<MeshShared>) {
     let rows = &shared.members.rows;
     loop {
         rows.own_missing.notified().await;
@@ -263,9 +263,9 @@
             let change = RowChange::Write(shared.own_address());
             // Guards against tellers that take the change and do not make it.
             if tries >= TELLER_TRIES {
-                rows.want(change);
+                rows.enqueue_change(change);
             } else {
-                shared.see_to_row(change, false);
+                shared.request_row_change(change, false);
             }
             tries += 1;
             let seen = rows.own_changed.notified();
@@ -275,17 +275,17 @@
 }
 
 /// Has this host's row removed: it is being taken away.
-pub async fn part(shared: &Rc<MeshShared>) {
+pub async fn remove_own_row(shared: &Rc<MeshShared>) {
     let rows = &shared.members.rows;
     rows.is_parting.set(true);
     let id = shared.settings.borrow().id.clone();
-    rows.see_own();
+    rows.mark_own_registered();
     let gone = async {
         while rows.is_own_seen() {
             rows.own_changed.notified().await;
         }
     };
-    shared.see_to_row(RowChange::Remove(id.clone()), false);
+    shared.request_row_change(RowChange::Remove(id.clone()), false);
     // The process may end before the store's answer, which nobody needs; what
     // a failure leaves is a row of a host that never answers.
     match tokio::time::timeout(PARTING_TIME, gone).await {
--- a/crates/mesh/src/serve_peers/news.rs
+++ b/crates/mesh/src/serve_peers/news.rs
@@ -12,7 +12,7 @@
 use crate::messages::{encode, take, BadMessage, LinkMessage, PeerAddress, RowChange};
 use crate::organisations::tokens;
 use crate::state::MeshShared;
-use crate::versions::UntoldSteps;
+use crate::versions::StepsUnavailable;
 
 /// Path of the stream for news.
 pub(super) fn news_path() -> &'static str {
@@ -115,7 +115,7 @@
 
 fn heard_hello(shared: &Rc<MeshShared>, from: PeerAddress) {
     let id = from.id.clone();
-    shared.learn_host(from, "hello");
+    shared.upsert_host(from, "hello");
     // A peer that links here is up: no reason to wait out a pause in dialing it.
     if let Some(peer) = shared.peers.get(&id) {
         if peer.link.borrow().is_none() {
@@ -134,14 +134,14 @@
                     deflated: versions.deflated().to_vec(),
                 },
                 Err(untold) => LinkMessage::NoSteps {
-                    are_heavy: untold == UntoldSteps::Heavy,
+                    are_heavy: untold == StepsUnavailable::TooLarge,
                 },
             })
         }
         LinkMessage::WantMembers => Some(shared.member_list()),
         LinkMessage::Members(list) if !shared.members.is_known.get() => {
             match list.unpack() {
-                Ok(hosts) => shared.take_members(hosts, "hello"),
+                Ok(hosts) => shared.apply_member_list(hosts, "hello"),
                 Err(BadMessage) => log::error!("event=members_unreadable from=hello"),
             }
             None
@@ -151,12 +151,12 @@
             is_passed_on,
         } => {
             if let RowChange::Write(address) = &change {
-                shared.learn_host(address.clone(), "hello");
+                shared.upsert_host(address.clone(), "hello");
             }
             if is_passed_on {
-                shared.members.rows.want(change);
+                shared.members.rows.enqueue_change(change);
             } else {
-                shared.see_to_row(change, true);
+                shared.request_row_change(change, true);
             }
             None
         }
--- a/crates/mesh/src/shell.rs
+++ b/crates/mesh/src/shell.rs
@@ -20,7 +20,7 @@
 use crate::egress::EgressPacer;
 use crate::gate::Gate;
 use crate::logging::LineBudget;
-use crate::members::MemberBook;
+use crate::members::MemberTable;
 use crate::metrics::MeshMetrics;
 use crate::organisations::OrganisationDesk;
 use crate::peers::PeerBook;
@@ -29,7 +29,7 @@
 use crate::settings::MeshSettings;
 use crate::state::MeshShared;
 use crate::stop::StopState;
-use crate::versions::{self, VersionBook};
+use crate::versions::{self, VersionState};
 use crate::{
     control, feeds, ingress, metrics, organisations, plan, ready, reload, rows, serve_peers,
     sockets, status, stop,
@@ -129,8 +129,8 @@
         store: StoreClient::new(&settings.store, STORE_TIMEOUT, Arc::new(SystemClock)),
         budget: RefCell::new(RetryBudget::new(settings.retry_budget_limits(), now)),
         settings: RefCell::new(Rc::new(settings)),
-        versions: VersionBook::default(),
-        members: MemberBook::default(),
+        versions: VersionState::default(),
+        members: MemberTable::default(),
         peers: PeerBook::default(),
         egress,
         gate,
@@ -174,12 +174,14 @@
     spawn(Box::pin(organisations::tokens::keep_leased(Rc::clone(
         shared,
     ))));
-    spawn(Box::pin(plan::keep_planned(Rc::clone(shared))));
-    spawn(Box::pin(rows::keep_own(Rc::clone(shared))));
-    spawn(Box::pin(rows::keep_written(Rc::clone(shared))));
-    spawn(Box::pin(versions::keep_warned(Rc::clone(shared))));
-    spawn(Box::pin(feeds::follow_configuration(Rc::clone(shared))));
-    spawn(Box::pin(feeds::follow_members(Rc::clone(shared))));
+    spawn(Box::pin(plan::maintain_link_plan(Rc::clone(shared))));
+    spawn(Box::pin(rows::maintain_own_row(Rc::clone(shared))));
+    spawn(Box::pin(rows::run_row_writer(Rc::clone(shared))));
+    spawn(Box::pin(versions::announce_large_versions(Rc::clone(
+        shared,
+    ))));
+    spawn(Box::pin(feeds::watch_configuration(Rc::clone(shared))));
+    spawn(Box::pin(feeds::watch_members(Rc::clone(shared))));
     if let Some(listener) = listeners.metrics {
         spawn(Box::pin(metrics::serve(Rc::clone(shared), listener)));
     }
--- a/crates/mesh/src/state.rs
+++ b/crates/mesh/src/state.rs
@@ -19,7 +19,7 @@
 use crate::egress::EgressPacer;
 use crate::gate::Gate;
 use crate::logging::LineBudget;
-use crate::members::MemberBook;
+use crate::members::MemberTable;
 use crate::messages::PeerAddress;
 use crate::metrics::{CrossingCause, MeshMetrics};
 use crate::organisations::OrganisationDesk;
@@ -28,7 +28,7 @@
 use crate::rollouts::RolloutBook;
 use crate::settings::MeshSettings;
 use crate::stop::StopState;
-use crate::versions::VersionBook;
+use crate::versions::VersionState;
 
 /// What was learnt of a route's calls.
 #[derive(Clone, Debug, Default)]
@@ -53,9 +53,9 @@
     /// The store.
     pub store: StoreClient,
     /// The version in force.
-    pub versions: VersionBook,
+    pub versions: VersionState,
     /// Which hosts there are.
-    pub members: MemberBook,
+    pub members: MemberTable,
     /// The daemons that this one links to.
     pub peers: PeerBook,
     /// The way out of this host.
--- a/crates/mesh/src/stop.rs
+++ b/crates/mesh/src/stop.rs
@@ -148,7 +148,7 @@
     let row = async {
         // The host goes with its target: nobody is to look for it any more.
         if shared.gate.has_left() {
-            rows::part(&shared).await;
+            rows::remove_own_row(&shared).await;
         }
     };
     let calls = async {
--- a/crates/mesh/src/versions.rs
+++ b/crates/mesh/src/versions.rs
@@ -9,7 +9,7 @@
 use filbert_policy::routing::RouteIndex;
 use tokio::sync::Notify;
 
-use crate::asking::WholeSlot;
+use crate::asking::FullTextSlot;
 use crate::deflate;
 use crate::messages::{encode, LinkMessage, VersionStep};
 use crate::state::MeshShared;
@@ -36,14 +36,14 @@
 /// too, and if they began only when their reader had it whole, two downloads of
 /// 0.9 s on a link of 7.5 Mbit/s would follow each other in the two seconds
 /// that a version has.
-pub async fn keep_warned(shared: Rc<MeshShared>) {
+pub async fn announce_large_versions(shared: Rc<MeshShared>) {
     let mut begun = shared.store.response_lengths();
     while begun.changed().await.is_ok() {
         let length = usize::try_from(*begun.borrow_and_update()).unwrap_or(usize::MAX);
         let text = shared.versions.text().len();
         let usual = encoded_length(text) + AROUND_TEXT;
         if text > 0 && length > usual + encoded_length(MOST_TOLD) && shared.members.is_reader() {
-            shared.tell_followers(&LinkMessage::HeavyVersion);
+            shared.send_to_followers(&LinkMessage::HeavyVersion);
         }
     }
 }
@@ -55,16 +55,16 @@
 
 /// Why no steps are told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum UntoldSteps {
+pub enum StepsUnavailable {
     /// They are not remembered, or were never taken here.
     Unknown,
     /// They are too heavy for a link.
-    Heavy,
+    TooLarge,
 }
 
 /// The version in force.
 #[derive(Default)]
-pub struct VersionBook {
+pub struct VersionState {
     index: RefCell<Rc<RouteIndex>>,
     text: RefCell<Bytes>,
     /// The text deflated; empty until somebody asks for it.
@@ -72,15 +72,15 @@
     steps: RefCell<VecDeque<VersionStep>>,
     decoder: RefCell<ConfigDecoder>,
     /// Asks for the version from the store now.
-    pub wanted: Notify,
+    pub store_query_requested: Notify,
     /// The one ask of a peer for a whole text.
-    pub whole_slot: WholeSlot,
+    pub full_text_slot: FullTextSlot,
     /// Whether the store gave no answer when it was last asked for the
     /// configuration.
     pub store_is_away: Cell<bool>,
 }
 
-impl VersionBook {
+impl VersionState {
     /// The version in force, compiled.
     #[must_use]
     pub fn index(&self) -> Rc<RouteIndex> {
@@ -112,19 +112,19 @@
     /// The steps from version `have` to the one in force.
     ///
     /// # Errors
-    /// [`UntoldSteps`] when there are none to tell.
-    pub fn steps_from(&self, have: u64) -> Result<Vec<VersionStep>, UntoldSteps> {
+    /// [`StepsUnavailable`] when there are none to tell.
+    pub fn steps_from(&self, have: u64) -> Result<Vec<VersionStep>, StepsUnavailable> {
         let steps = self.steps.borrow();
         let first = steps
             .iter()
             .position(|step| step.from == have)
-            .ok_or(UntoldSteps::Unknown)?;
+            .ok_or(StepsUnavailable::Unknown)?;
         let told: Vec<VersionStep> = steps.iter().skip(first).cloned().collect();
         let weight: usize = told.iter().map(|step| step.delta.weight()).sum();
         if weight <= MOST_TOLD {
             Ok(told)
         } else {
-            Err(UntoldSteps::Heavy)
+            Err(StepsUnavailable::TooLarge)
         }
     }
 
@@ -147,7 +147,7 @@
     /// Guards against going back: versions come from the store and from every
     /// peer, in any order, and only a higher number is taken. A version that
     /// cannot be decoded whole is not used at all.
-    pub fn offer_version(&self, text: &Bytes, from: &str) {
+    pub fn apply_version(&self, text: &Bytes, from: &str) {
         let version = match self.versions.decoder.borrow_mut().decode(text) {
             Ok(version) => version,
             Err(error) => {
@@ -180,16 +180,16 @@
     }
 
     /// Puts a version whose text came deflated in force, if it is newer.
-    pub fn offer_deflated(&self, deflated: &[u8], from: &str) {
+    pub fn apply_deflated_version(&self, deflated: &[u8], from: &str) {
         match deflate::unpack(deflated) {
-            Ok(text) => self.offer_version(&text.into(), from),
+            Ok(text) => self.apply_version(&text.into(), from),
             Err(error) => log::error!("event=version_refused from={from} error=\"{error}\""),
         }
     }
 
     /// Follows `steps` from the version in force; false when they do not lead
     /// on from it.
-    pub fn offer_steps(&self, steps: &[VersionStep], from: &str) -> bool {
+    pub fn apply_steps(&self, steps: &[VersionStep], from: &str) -> bool {
         let book = &self.versions;
         let mut text = book.text();
         let mut number = book.number();
@@ -207,7 +207,7 @@
             number = step.to;
         }
         if number > book.number() {
-            self.offer_version(&text, from);
+            self.apply_version(&text, from);
         }
         book.number() >= number
     }
--- a/crates/mesh/tests/asking_cases.rs
+++ b/crates/mesh/tests/asking_cases.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use filbert_mesh::asking::WholeSlot;
+use filbert_mesh::asking::FullTextSlot;
 use rstest::rstest;
 
 /// What becomes of a first ask, and when a second one may follow it.
@@ -28,7 +28,7 @@
 fn another_peer_is_asked(#[case] case: SlotCase) {
     let began = Instant::now();
     let after = |ms| began + Duration::from_millis(ms);
-    let slot = WholeSlot::default();
+    let slot = FullTextSlot::default();
     let first = slot.take(began).expect("a free slot");
     for part in case.parts_ms {
         first.go_on(after(*part));
@@ -46,7 +46,7 @@
 #[test]
 fn a_late_end_leaves_the_next_ask_alone() {
     let began = Instant::now();
-    let slot = WholeSlot::default();
+    let slot = FullTextSlot::default();
     let first = slot.take(began).expect("a free slot");
     let later = began + Duration::from_secs(1);
     let second = slot.take(later).expect("a slot that nobody holds");
