--- a/crates/mesh/src/asking.rs
+++ b/crates/mesh/src/asking.rs
@@ -1,4 +1,5 @@
-//! Whom a daemon asks for a version that a peer has and it has not, and when.
+//! Decides when a daemon requests a newer version, and whether from the peer
+//! that has it or from the store.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -8,89 +9,102 @@
 use crate::peers::Peer;
 use crate::state::MeshShared;
 
-/// How long a newer version may take to come from the store before the peer
-/// that has it is asked: longer than the pause between two calls to the store,
-/// as a version over a link may cost bytes between zones.
-const STORE_HEAD_START: Duration = Duration::from_millis(800);
-/// The same for a daemon that does not ask the store itself, before it asks
-/// others of its zone and of other zones than those that follow the store for
-/// it: these tell a version within some 10 ms.
-const NEAR_HEAD_START: Duration = Duration::from_millis(300);
-const FAR_HEAD_START: Duration = Duration::from_millis(600);
-/// Time for another peer's steps, before the store is asked for a version to
-/// which one peer has none.
+/// Time for a newer version to arrive from the store before the peer that has
+/// it is asked, on a daemon that reads the store itself. Longer than the pause
+/// between two calls to the store, because a version over a link may cost
+/// traffic between zones.
+const READER_REQUEST_DELAY: Duration = Duration::from_millis(800);
+/// Time for a newer version to arrive from an upstream before another peer of
+/// the same zone is asked, on a daemon that does not read the store. Upstreams
+/// deliver a version within about 10 ms.
+const SAME_ZONE_REQUEST_DELAY: Duration = Duration::from_millis(300);
+/// Like `SAME_ZONE_REQUEST_DELAY`, for a peer in another zone.
+const OTHER_ZONE_REQUEST_DELAY: Duration = Duration::from_millis(600);
+/// Time for the deltas of other peers to arrive after one peer had none, before
+/// the store is queried.
 ///
-/// Guards against whole versions being read from the store by every daemon in
-/// a storm: each of a zone's readers takes the newest after a pause, so they
-/// skip different ones, and have no steps from those that they skipped.
-const OTHERS_HEAD_START: Duration = Duration::from_millis(600);
-/// Time for the store to give a version whose steps a peer has forgotten,
-/// before the peer is asked for its text.
-const WHOLE_HEAD_START: Duration = Duration::from_millis(700);
-/// Time after which a peer that did not answer for its version is asked again.
-const LONGEST_ASK: Duration = Duration::from_secs(2);
-/// Time for a peer to begin, and to go on, with a whole text before another is
-/// asked for it: some round trips, and the turn of a host that has a tenth of
-/// a core.
-const WHOLE_PIECE_WITHIN: Duration = Duration::from_millis(700);
+/// In a burst of versions each reader of a zone takes the newest one after a
+/// pause, so readers skip different versions and have no deltas from those that
+/// they skipped. Without this delay every daemon would then read whole versions
+/// from the store.
+const STORE_QUERY_DELAY: Duration = Duration::from_millis(600);
+/// Time for the store to deliver a version whose deltas a peer no longer has,
+/// before the peer is asked for the full text.
+const FULL_TEXT_REQUEST_DELAY: Duration = Duration::from_millis(700);
+/// Time after which a peer that has not answered is asked again.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum time until a full text begins to arrive, and between two of its
+/// parts, before another peer is asked for it: a few round trips plus the
+/// scheduling delay of a host with a tenth of a core.
+const FULL_TEXT_IDLE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// The one ask for a whole text that may be under way.
+/// Lease that permits one request for a full text at a time, over all peers.
 ///
-/// Guards against a link that is full of copies: a daemon restarted while the
-/// store was away asked every peer that had a version for its text, some 30
-/// times 600 KB over 21 Mbit/s. Its links fell silent for three seconds, and
-/// the next version came late behind the copies.
+/// A daemon restarted while the store was unreachable requested the text from
+/// every peer that had a version, some 30 times 600 KB over 21 Mbit/s. Its
+/// links were unresponsive for three seconds, and the next version arrived late
+/// behind the copies.
 #[derive(Debug, Default)]
 pub struct FullTextSlot {
-    held: Cell<Option<HeldSlot>>,
-    next_ticket: Cell<u64>,
+    lease: Cell<Option<SlotLease>>,
+    last_lease_id: Cell<u64>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct HeldSlot {
-    ticket: u64,
-    until: Instant,
+struct SlotLease {
+    lease_id: u64,
+    expires_at: Instant,
 }
 
 impl FullTextSlot {
-    /// Takes the slot.
+    /// Acquires the slot for a new request.
     ///
     /// # Errors
-    /// When it may be free again, while another ask holds it.
-    pub fn take(&self, now: Instant) -> Result<FullTextRequest<'_>, Instant> {
-        if let Some(held) = self.held.get() {
-            if now < held.until {
-                return Err(held.until);
+    /// The time at which the slot may be free again, while another request
+    /// holds it.
+    pub fn try_acquire(&self, now: Instant) -> Result<FullTextRequest<'_>, Instant> {
+        if let Some(lease) = self.lease.get() {
+            if now < lease.expires_at {
+                return Err(lease.expires_at);
             }
         }
-        let ticket = self.next_ticket.get() + 1;
-        self.next_ticket.set(ticket);
-        let until = now + WHOLE_PIECE_WITHIN;
-        self.held.set(Some(HeldSlot { ticket, until }));
-        Ok(FullTextRequest { slot: self, ticket })
+        let lease_id = self.last_lease_id.get() + 1;
+        self.last_lease_id.set(lease_id);
+        let expires_at = now + FULL_TEXT_IDLE_TIMEOUT;
+        self.lease.set(Some(SlotLease {
+            lease_id,
+            expires_at,
+        }));
+        Ok(FullTextRequest {
+            slot: self,
+            lease_id,
+        })
     }
 }
 
-/// An ask for a whole text; dropped when it was answered or its link ended.
+/// A request for a full text. Dropped, which frees the slot, once it has been
+/// answered or its link has ended.
 #[derive(Debug)]
 pub struct FullTextRequest<'a> {
     slot: &'a FullTextSlot,
-    ticket: u64,
+    lease_id: u64,
 }
 
 impl FullTextRequest<'_> {
-    /// Until when it holds the slot; `None` when another took it over.
-    fn held_until(&self) -> Option<Instant> {
-        let held = self.slot.held.get()?;
-        (held.ticket == self.ticket).then_some(held.until)
+    /// When this request's lease expires; `None` when another request has taken
+    /// over the slot.
+    fn lease_expiry(&self) -> Option<Instant> {
+        let lease = self.slot.lease.get()?;
+        (lease.lease_id == self.lease_id).then_some(lease.expires_at)
     }
 
-    /// Notes that a part of the text came; it keeps the slot.
-    pub fn go_on(&self, now: Instant) {
-        if self.held_until().is_some() {
-            self.slot.held.set(Some(HeldSlot {
-                ticket: self.ticket,
-                until: now + WHOLE_PIECE_WITHIN,
+    /// Extends the lease after a part of the text has arrived. Has no effect
+    /// when another request has taken over the slot.
+    pub fn renew(&self, now: Instant) {
+        if self.lease_expiry().is_some() {
+            self.slot.lease.set(Some(SlotLease {
+                lease_id: self.lease_id,
+                expires_at: now + FULL_TEXT_IDLE_TIMEOUT,
             }));
         }
     }
@@ -98,159 +112,163 @@
 
 impl Drop for FullTextRequest<'_> {
     fn drop(&mut self) {
-        if self.held_until().is_some() {
-            self.slot.held.set(None);
+        if self.lease_expiry().is_some() {
+            self.slot.lease.set(None);
         }
     }
 }
 
-/// A newer version that a peer has.
-struct WantedVersion {
+/// A newer version that the peer has announced.
+struct PendingFetch {
     number: u64,
-    /// When to ask for it, if it has not come from elsewhere.
+    /// When to request it, unless it has arrived from elsewhere.
     next_request_at: Instant,
-    stage: AskStage,
+    stage: FetchStage,
 }
 
-/// Whom to ask next for a version.
+/// What to request next in order to get the version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum AskStage {
-    /// The peer, for steps.
+enum FetchStage {
+    /// Deltas from the peer.
     Steps,
-    /// The store: the peer has no steps.
+    /// The version from the store, because the peer has no deltas.
     Store,
-    /// The peer, for the whole text, should the store be away.
-    Whole,
-    /// The peer, for the whole text: this daemon has no version yet.
-    First,
+    /// The full text from the peer, if the store is unreachable.
+    FullText,
+    /// The full text from the peer, because this daemon has no version yet.
+    Bootstrap,
 }
 
-/// Asks one peer for its versions.
+/// Fetches newer versions from one peer.
 pub struct VersionFetcher<'a> {
     shared: &'a MeshShared,
     peer: &'a Peer,
-    wanted: Option<WantedVersion>,
-    whole: Option<FullTextRequest<'a>>,
+    pending: Option<PendingFetch>,
+    full_text_request: Option<FullTextRequest<'a>>,
 }
 
 impl<'a> VersionFetcher<'a> {
-    /// An asker that wants nothing yet.
+    /// Creates a fetcher with nothing to fetch.
     #[must_use]
     pub fn new(shared: &'a MeshShared, peer: &'a Peer) -> VersionFetcher<'a> {
         VersionFetcher {
             shared,
             peer,
-            wanted: None,
-            whole: None,
+            pending: None,
+            full_text_request: None,
         }
     }
 
-    /// Takes word that the peer has version `number` in force.
+    /// Records that the peer has announced version `number`.
     ///
-    /// Guards against a storm of versions that puts the asking off for ever: a
-    /// newer one keeps the time of the first.
+    /// A newer announcement keeps the request time of the first pending one, so
+    /// that a burst of versions cannot postpone the request indefinitely.
     pub fn hear(&mut self, number: u64) {
         if number <= self.shared.versions.number() {
             return;
         }
-        self.wanted = Some(match self.wanted.take() {
-            Some(earlier) => WantedVersion { number, ..earlier },
-            None => self.want(number),
+        self.pending = Some(match self.pending.take() {
+            Some(pending) => PendingFetch { number, ..pending },
+            None => self.schedule(number),
         });
     }
 
-    /// Takes word that the peer has no steps to its version, or only steps too
-    /// heavy for a link.
+    /// Records that the peer has no deltas to its version, or only deltas that
+    /// are too large for a link (`are_heavy`). The store is queried next: at
+    /// once if they are too large.
     pub fn record_missing_steps(&mut self, are_heavy: bool) {
-        let head_start = if are_heavy {
+        let delay = if are_heavy {
             Duration::ZERO
         } else {
-            OTHERS_HEAD_START
+            STORE_QUERY_DELAY
         };
-        let next_request_at = self.shared.clock.now() + head_start;
-        if let Some(wanted) = &mut self.wanted {
-            wanted.next_request_at = next_request_at;
-            wanted.stage = AskStage::Store;
+        let next_request_at = self.shared.clock.now() + delay;
+        if let Some(pending) = &mut self.pending {
+            pending.next_request_at = next_request_at;
+            pending.stage = FetchStage::Store;
         }
     }
 
-    /// Notes that the peer answered with steps or a text; what it has beyond
-    /// is asked for anew.
+    /// Records that the peer has answered with deltas or a full text. If the
+    /// peer's version is still newer, another request is scheduled.
     pub fn record_response(&mut self) {
-        self.whole = None;
-        self.wanted = match self.wanted.take() {
-            Some(wanted) if wanted.number > self.shared.versions.number() => {
-                Some(self.want(wanted.number))
+        self.full_text_request = None;
+        self.pending = match self.pending.take() {
+            Some(pending) if pending.number > self.shared.versions.number() => {
+                Some(self.schedule(pending.number))
             }
             _ => None,
         };
     }
 
-    /// Notes that part of a message came from the peer: a text that was asked
-    /// for is under way, however slowly.
+    /// Records that part of a message has arrived from the peer, which shows
+    /// that a requested full text is still being received.
     pub fn record_partial_message(&self) {
-        if let Some(ask) = &self.whole {
-            ask.go_on(self.shared.clock.now());
+        if let Some(request) = &self.full_text_request {
+            request.renew(self.shared.clock.now());
         }
     }
 
-    /// When to ask next; `None` while nothing is wanted of the peer.
+    /// When to send the next request; `None` while there is nothing to fetch.
     pub fn next_request_at(&mut self) -> Option<Instant> {
         let number = self.shared.versions.number();
-        self.wanted.take_if(|wanted| wanted.number <= number);
-        if self.wanted.is_none() {
-            self.whole = None;
+        self.pending.take_if(|pending| pending.number <= number);
+        if self.pending.is_none() {
+            self.full_text_request = None;
         }
-        self.wanted.as_ref().map(|wanted| wanted.next_request_at)
+        self.pending.as_ref().map(|pending| pending.next_request_at)
     }
 
-    /// What to ask the peer for now; `None` when the store is asked, or another
-    /// peer is giving its text.
+    /// The request to send to the peer now; `None` when the store is queried
+    /// instead, or while another peer sends its full text.
     ///
-    /// Guards against a text of 600 KB being sent by peers over slow links
-    /// while the store is giving it: as long as the store is not known to be
-    /// away, it is waited for.
+    /// While the store is not known to be unreachable, the version is awaited
+    /// from there: otherwise peers would send a text of 600 KB over slow links
+    /// while the store is sending it too.
     pub fn ask(&mut self) -> Option<LinkMessage> {
-        // It may have come from elsewhere while it was waited for.
+        // Drops the pending fetch if the version has arrived from elsewhere.
         self.next_request_at()?;
         let versions = &self.shared.versions;
         let now = self.shared.clock.now();
-        let wanted = self.wanted.as_mut()?;
-        let asks_store = match wanted.stage {
-            AskStage::Steps | AskStage::First => false,
-            AskStage::Store => true,
-            AskStage::Whole => !versions.store_is_away.get(),
+        let pending = self.pending.as_mut()?;
+        let queries_store = match pending.stage {
+            FetchStage::Steps | FetchStage::Bootstrap => false,
+            FetchStage::Store => true,
+            FetchStage::FullText => !versions.is_store_unreachable.get(),
         };
-        if asks_store {
+        if queries_store {
             versions.store_query_requested.notify_one();
-            wanted.stage = AskStage::Whole;
-            wanted.next_request_at = now + WHOLE_HEAD_START;
+            pending.stage = FetchStage::FullText;
+            pending.next_request_at = now + FULL_TEXT_REQUEST_DELAY;
             return None;
         }
-        let or_whole = matches!(wanted.stage, AskStage::Whole | AskStage::First);
+        let or_whole = matches!(pending.stage, FetchStage::FullText | FetchStage::Bootstrap);
         if or_whole {
-            // Its text is still under way, or its time is over.
-            let held = self.whole.as_ref().and_then(FullTextRequest::held_until);
-            if let Some(until) = held.filter(|until| now < *until) {
-                wanted.next_request_at = until;
+            // The text is still being received unless its lease has expired.
+            let lease = self
+                .full_text_request
+                .as_ref()
+                .and_then(FullTextRequest::lease_expiry);
+            if let Some(expires_at) = lease.filter(|expires_at| now < *expires_at) {
+                pending.next_request_at = expires_at;
                 return None;
             }
-            self.whole = None;
-            match versions.full_text_slot.take(now) {
-                Ok(ask) => self.whole = Some(ask),
-                Err(free_at) => {
-                    wanted.next_request_at = free_at;
+            self.full_text_request = None;
+            match versions.full_text_slot.try_acquire(now) {
+                Ok(request) => self.full_text_request = Some(request),
+                Err(retry_at) => {
+                    pending.next_request_at = retry_at;
                     return None;
                 }
             }
         }
-        // Asked again only behind an answer that did not help.
-        wanted.next_request_at = now + LONGEST_ASK;
+        // Another request follows earlier only if the answer does not help.
+        pending.next_request_at = now + REQUEST_TIMEOUT;
         log::info!(
             "event=version_asked peer={} have={:08x} wanted={:08x} whole={or_whole}",
             self.peer.address.id,
             versions.number(),
-            wanted.number
+            pending.number
         );
         Some(LinkMessage::WantVersion {
             have: versions.number(),
@@ -258,33 +276,33 @@
         })
     }
 
-    /// When the peer is asked for its newer version.
-    fn want(&self, number: u64) -> WantedVersion {
+    /// Schedules the fetch of version `number`.
+    fn schedule(&self, number: u64) -> PendingFetch {
         let shared = self.shared;
-        let is_near = self.peer.address.zone == shared.settings.borrow().zone;
-        let has_none = shared.versions.number() == 0;
-        let head_start = if has_none {
-            // Nobody has steps from nothing, so the whole text is wanted.
-            if is_near {
+        let is_same_zone = self.peer.address.zone == shared.settings.borrow().zone;
+        let has_no_version = shared.versions.number() == 0;
+        let delay = if has_no_version {
+            // No peer has deltas from version 0, so the full text is needed.
+            if is_same_zone {
                 Duration::ZERO
             } else {
-                FAR_HEAD_START
+                OTHER_ZONE_REQUEST_DELAY
             }
         } else {
             match *shared.members.role.borrow() {
-                StoreRole::Reads => STORE_HEAD_START,
+                StoreRole::Reads => READER_REQUEST_DELAY,
                 StoreRole::Follows if shared.is_upstream(&self.peer.address.id) => Duration::ZERO,
-                StoreRole::Follows if is_near => NEAR_HEAD_START,
-                StoreRole::Follows => FAR_HEAD_START,
+                StoreRole::Follows if is_same_zone => SAME_ZONE_REQUEST_DELAY,
+                StoreRole::Follows => OTHER_ZONE_REQUEST_DELAY,
             }
         };
-        WantedVersion {
+        PendingFetch {
             number,
-            next_request_at: shared.clock.now() + head_start,
-            stage: if has_none {
-                AskStage::First
+            next_request_at: shared.clock.now() + delay,
+            stage: if has_no_version {
+                FetchStage::Bootstrap
             } else {
-                AskStage::Steps
+                FetchStage::Steps
             },
         }
     }
--- a/crates/mesh/src/feeds.rs
+++ b/crates/mesh/src/feeds.rs
@@ -1,5 +1,5 @@
-//! Brings configuration and membership from the store, or leaves that to a
-//! daemon of the zone that tells this one.
+//! Reads configuration and membership from the store, or leaves that to the
+//! upstreams of this daemon.
 
 mod take;
 
@@ -18,38 +18,39 @@
 use crate::messages::StoreState;
 use crate::rows::HOSTS_TABLE;
 use crate::state::MeshShared;
-use take::{take_configuration, take_member, take_table};
+use take::{apply_configuration_row, apply_member_row, apply_table};
 
-/// How long the configuration's feed waits for a change before it answers with
-/// none.
+/// Time after which a watch of the configuration returns without a change.
 ///
-/// Guards against a store that fell silent: a call made then is never answered,
-/// and looks the same as one that waits. Where both daemons that ask for the fleet
-/// meet it, the silence has to show, and others to step in, within the two seconds
-/// in which a version must be in force.
-const CONFIGURATION_WAIT: Duration = Duration::from_millis(800);
-/// The same for the members' feed. It is read anew when the other feed finds
-/// the store back, and new hosts say hello besides.
-const MEMBERSHIP_WAIT: Duration = Duration::from_secs(25);
-/// Pause after a change before the next is asked for. Changes come in storms
-/// (a version each 0.2 s, or all hosts at once at a start); read one by one,
-/// each costs every reader a call: with 500 ms a quiet day of twelve hosts
-/// with such a storm makes 393 calls in place of 588. The first of a storm is
-/// not delayed, the last by 0.3 s at most.
-const GATHER: Duration = Duration::from_millis(300);
-/// How often the members' feed looks whether the store is still away.
-const AWAY_LOOK: Duration = Duration::from_secs(1);
-/// Time for the first plan to be made of the members read.
-const PLAN_TIME: Duration = Duration::from_millis(100);
+/// A call made to a store that has stopped responding is never answered, and
+/// looks the same as a watch without a change. When this happens to both
+/// sources of the fleet, it has to be detected, and other daemons have to
+/// replace them, within the two seconds in which a version has to be in force.
+const CONFIGURATION_WATCH_TIMEOUT: Duration = Duration::from_millis(800);
+/// Like `CONFIGURATION_WATCH_TIMEOUT`, for the members. It can be long: the
+/// members are read again when the watch of the configuration finds that the
+/// store responds again, and new hosts also send a hello.
+const MEMBERSHIP_WATCH_TIMEOUT: Duration = Duration::from_secs(25);
+/// Delay after a change before the next watch. Changes come in bursts (a
+/// version every 0.2 s, or all hosts at once at a start), and reading them one
+/// by one costs every reader a call for each. With 500 ms, a quiet day of
+/// twelve hosts with such a burst makes 393 calls instead of 588. The first
+/// change of a burst is not delayed, the last by 0.3 s at most.
+const CHANGE_BATCH_DELAY: Duration = Duration::from_millis(300);
+/// How often the feed of the members checks whether the store is still
+/// unreachable.
+const STORE_RETURN_POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Time for the first link plan to be made once the members are loaded.
+const FIRST_PLAN_DELAY: Duration = Duration::from_millis(100);
 /// Time for the first links to come up, on a host with a tenth of a core.
-const LINK_TIME: Duration = Duration::from_secs(2);
-/// Time without anybody that tells of hosts, after which a daemon that asks for
-/// itself alone asks for them: tellers that die are replaced within a second.
-const ALONE_FOR: Duration = Duration::from_secs(3);
-/// How often a daemon without a version looks again who has one.
-const VERSION_LOOK: Duration = Duration::from_millis(50);
+const FIRST_LINK_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time without an upstream before a daemon that is no source reads the members
+/// from the store. Failed upstreams are replaced within a second.
+const UPSTREAM_REPLACEMENT_TIMEOUT: Duration = Duration::from_secs(3);
+/// How often a daemon without a version checks which peers have one.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a feed is for.
+/// The table that a feed reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FeedSubject {
     Configuration,
@@ -57,10 +58,10 @@
 }
 
 impl FeedSubject {
-    fn wait(self) -> Duration {
+    fn watch_timeout(self) -> Duration {
         match self {
-            FeedSubject::Configuration => CONFIGURATION_WAIT,
-            FeedSubject::Membership => MEMBERSHIP_WAIT,
+            FeedSubject::Configuration => CONFIGURATION_WATCH_TIMEOUT,
+            FeedSubject::Membership => MEMBERSHIP_WATCH_TIMEOUT,
         }
     }
 
@@ -79,152 +80,160 @@
     }
 }
 
-/// Follows the operator's configuration. Runs for ever.
+/// Keeps the operator's configuration up to date. Never returns.
 pub async fn watch_configuration(shared: Rc<MeshShared>) {
-    follow(shared, FeedSubject::Configuration).await;
+    run_feed(shared, FeedSubject::Configuration).await;
 }
 
-/// Follows the members. Runs for ever.
+/// Keeps the members up to date. Never returns.
 pub async fn watch_members(shared: Rc<MeshShared>) {
-    follow(shared, FeedSubject::Membership).await;
+    run_feed(shared, FeedSubject::Membership).await;
 }
 
-/// One feed's place in the store's history and its luck so far.
+/// Position of a feed in the history of its table, and its failures so far.
 struct FeedState {
     subject: FeedSubject,
-    /// From which version to go on; `None` to read the table anew.
+    /// Table version from which to watch; `None` to read the whole table.
     position: Option<u64>,
-    /// The version in force when that place was reached.
-    reached: u64,
-    /// How often the store had come back from an older copy by the last answer.
+    /// Configuration version that was in force when `position` was reached.
+    version_at_position: u64,
+    /// Number of times that the store had been restored from an older copy, as
+    /// of the last answer.
     era: Option<u64>,
-    /// Calls in vain since the last answer.
+    /// Failed calls since the last answer.
     failures: u32,
 }
 
 impl FeedState {
-    /// Whether the store has come back from an older copy since the last answer.
-    fn notes_era(&mut self, shared: &MeshShared) -> bool {
+    /// Updates the era. Returns whether the store has been restored from an
+    /// older copy since the last answer.
+    fn update_era(&mut self, shared: &MeshShared) -> bool {
         let era = shared.store.era();
         shared.note_era(era);
         self.era.replace(era).is_some_and(|before| before != era)
     }
 
-    /// Reads the table anew when versions came from elsewhere since the last
-    /// answer.
+    /// Has the whole table read, instead of its history, when versions have
+    /// arrived from elsewhere since the last answer.
     ///
-    /// Guards against a heavy version that is late behind old ones: the history
-    /// since a follower's last ask holds the whole text of each version that
-    /// its readers told it meanwhile. These, 600 KB each, took a link of 7.5
-    /// Mbit/s for 2.4 s, and the new version, asked for behind them, was in
-    /// force 4.6 s after its announcement.
+    /// The history since a follower's last query holds the full text of each
+    /// version that its upstreams have sent it meanwhile. Such texts, 600 KB
+    /// each, occupied a link of 7.5 Mbit/s for 2.4 s, and an oversized version
+    /// queued behind them was in force only 4.6 s after its announcement.
     fn skip_history(&mut self, shared: &MeshShared) {
         let is_configuration = self.subject == FeedSubject::Configuration;
-        if is_configuration && shared.versions.number() != self.reached {
+        if is_configuration && shared.versions.number() != self.version_at_position {
             self.position = None;
         }
     }
 }
 
-async fn follow(shared: Rc<MeshShared>, subject: FeedSubject) {
+async fn run_feed(shared: Rc<MeshShared>, subject: FeedSubject) {
     let mut role = shared.members.role.subscribe();
     let mut state = FeedState {
         subject,
         position: None,
-        reached: 0,
+        version_at_position: 0,
         era: None,
         failures: 0,
     };
     match subject {
-        FeedSubject::Membership => first_members(&shared, &mut state).await,
-        FeedSubject::Configuration => first_configuration(&shared, &mut state).await,
+        FeedSubject::Membership => load_members(&shared, &mut state).await,
+        FeedSubject::Configuration => load_configuration(&shared, &mut state).await,
     }
     await_plan(&shared).await;
     loop {
         let now = *role.borrow_and_update();
         match now {
-            // The configuration's feed finds out that the store is back for both.
+            // The feed of the configuration detects for both feeds that the
+            // store responds again.
             StoreRole::Reads
-                if subject == FeedSubject::Membership && shared.versions.store_is_away.get() =>
+                if subject == FeedSubject::Membership
+                    && shared.versions.is_store_unreachable.get() =>
             {
-                // Rows may vanish meanwhile without a trace in the history.
+                // Rows may lapse meanwhile without a trace in the history.
                 state.position = None;
                 let returned = shared.store_returned.notified();
-                // The wait ends in time should the word have been missed.
-                let _ = tokio::time::timeout(AWAY_LOOK, returned).await;
+                // The timeout covers a missed notification.
+                let _ = tokio::time::timeout(STORE_RETURN_POLL_INTERVAL, returned).await;
             }
             StoreRole::Reads
-                if subject == FeedSubject::Membership && is_passing(&shared, &mut role).await => {}
+                if subject == FeedSubject::Membership
+                    && regains_upstream(&shared, &mut role).await => {}
             StoreRole::Reads => {
-                // A call that waits is dropped when others begin to tell this
-                // daemon.
+                // The pending call is dropped when an upstream is found.
                 tokio::select! {
-                    () = ask_once(&shared, &mut state) => {}
+                    () = query_once(&shared, &mut state) => {}
                     _ = role.wait_for(|role| *role == StoreRole::Follows) => {}
                 }
             }
-            StoreRole::Follows => follow_peers(&shared, &mut state, &mut role).await,
+            StoreRole::Follows => follow_upstreams(&shared, &mut state, &mut role).await,
         }
     }
 }
 
-/// Whether this daemon, which nobody tells of hosts just now, is told again
-/// soon: hosts come and go seldom, and whoever comes says hello.
-async fn is_passing(shared: &MeshShared, role: &mut Receiver<StoreRole>) -> bool {
+/// Whether this daemon, which has just lost its upstreams, has one again soon.
+/// Until then it need not read the members: hosts seldom join or leave, and a
+/// host that joins sends a hello.
+async fn regains_upstream(shared: &MeshShared, role: &mut Receiver<StoreRole>) -> bool {
     if shared.members.is_source() {
         return false;
     }
     let follows = role.wait_for(|role| *role == StoreRole::Follows);
-    tokio::time::timeout(ALONE_FOR, follows).await.is_ok()
+    tokio::time::timeout(UPSTREAM_REPLACEMENT_TIMEOUT, follows)
+        .await
+        .is_ok()
 }
 
-/// Learns the hosts, from the store or from whoever dials this daemon.
-async fn first_members(shared: &Rc<MeshShared>, state: &mut FeedState) {
+/// Loads the members, from the store or from a peer that links here.
+async fn load_members(shared: &Rc<MeshShared>, state: &mut FeedState) {
     let is_first_start = shared.settings.borrow().first_start;
-    let spread = rand::rng().random();
-    let told = await_members(shared);
-    if tokio::time::timeout(initial_query_delay(is_first_start, spread), told)
+    let jitter = rand::rng().random();
+    let loaded = await_members(shared);
+    if tokio::time::timeout(initial_query_delay(is_first_start, jitter), loaded)
         .await
         .is_ok()
     {
-        // Whether this host has a row was not seen.
+        // A list from a peer does not show whether this host has a row.
         shared.members.rows.mark_own_unregistered();
         return;
     }
     while !shared.members.is_known.get() {
-        ask_once(shared, state).await;
+        query_once(shared, state).await;
     }
 }
 
-/// Waits until it is known which hosts there are.
+/// Waits until the members are loaded.
 async fn await_members(shared: &MeshShared) {
     while !shared.members.is_known.get() {
         shared.members.became_known.notified().await;
     }
 }
 
-/// Guards against calls that wait at the store for every daemon of a fleet
-/// that starts: most need none, and know it as soon as links are up.
+/// Waits for the first link plan, and for an upstream if this daemon is no
+/// source. Most daemons of a fleet that starts get an upstream as soon as their
+/// links are up; without this delay, each would first keep a watch pending at
+/// the store.
 pub async fn await_plan(shared: &MeshShared) {
     let mut role = shared.members.role.subscribe();
-    tokio::time::sleep(PLAN_TIME).await;
+    tokio::time::sleep(FIRST_PLAN_DELAY).await;
     if !shared.members.is_source() {
         let follows = role.wait_for(|role| *role == StoreRole::Follows);
-        // Without a daemon to follow this one reads for itself.
-        let _ = tokio::time::timeout(LINK_TIME, follows).await;
+        // Without an upstream this daemon reads the store itself.
+        let _ = tokio::time::timeout(FIRST_LINK_TIMEOUT, follows).await;
     }
 }
 
 /// Gets a first version, from peers that have one or from the store.
-async fn first_configuration(shared: &Rc<MeshShared>, state: &mut FeedState) {
+async fn load_configuration(shared: &Rc<MeshShared>, state: &mut FeedState) {
     await_members(shared).await;
-    tokio::time::sleep(PLAN_TIME).await;
-    let began = shared.clock.now();
+    tokio::time::sleep(FIRST_PLAN_DELAY).await;
+    let started = shared.clock.now();
     while shared.versions.number() == 0 {
-        match bootstrap_step(&bootstrap_view(shared, began)) {
-            BootstrapStep::WaitForPeers(left) => tokio::time::sleep(left.min(VERSION_LOOK)).await,
+        match bootstrap_step(&bootstrap_view(shared, started)) {
+            BootstrapStep::WaitForPeers(left) => tokio::time::sleep(left.min(POLL_INTERVAL)).await,
             BootstrapStep::QueryStore => {
-                ask_once(shared, state).await;
+                query_once(shared, state).await;
                 if state.failures == 0 {
                     return;
                 }
@@ -233,7 +242,7 @@
     }
 }
 
-fn bootstrap_view(shared: &MeshShared, began: Instant) -> BootstrapView {
+fn bootstrap_view(shared: &MeshShared, started: Instant) -> BootstrapView {
     let settings = Rc::clone(&shared.settings.borrow());
     let upstreams = shared.linked_upstreams();
     let zone_peers_with_version = shared.peers.all().into_iter().filter(|peer| {
@@ -241,7 +250,7 @@
         has_version && peer.is_linked() && peer.address.zone == settings.zone
     });
     BootstrapView {
-        waited: shared.clock.now().saturating_duration_since(began),
+        waited: shared.clock.now().saturating_duration_since(started),
         is_first_start: settings.first_start,
         is_source: shared.members.is_source(),
         linked_upstreams: upstreams.len(),
@@ -253,9 +262,9 @@
     }
 }
 
-/// Waits while others follow the store for this daemon; asks it only for a
-/// version that they know and have no steps to.
-async fn follow_peers(
+/// Waits while upstreams send the contents of the store. The store is queried
+/// only for a version that they have announced and have no deltas to.
+async fn follow_upstreams(
     shared: &Rc<MeshShared>,
     state: &mut FeedState,
     role: &mut Receiver<StoreRole>,
@@ -264,16 +273,17 @@
         _ = role.wait_for(|role| *role == StoreRole::Reads) => state.skip_history(shared),
         () = shared.versions.store_query_requested.notified(), if state.subject == FeedSubject::Configuration => {
             state.skip_history(shared);
-            ask_once(shared, state).await;
+            query_once(shared, state).await;
         }
     }
 }
 
-/// Asks the store once, takes over what it says, and pauses as that calls for.
-async fn ask_once(shared: &Rc<MeshShared>, state: &mut FeedState) {
+/// Makes one call to the store, applies the result, and waits before the next
+/// call if needed.
+async fn query_once(shared: &Rc<MeshShared>, state: &mut FeedState) {
     let subject = state.subject;
     let is_configuration = subject == FeedSubject::Configuration;
-    match step(shared, state).await {
+    match query(shared, state).await {
         Ok((next, has_changed)) => {
             shared.metrics.store_call(subject.label(), "answered");
             if state.failures > 0 {
@@ -285,15 +295,15 @@
                 shared.store_returned.notify_waiters();
             }
             if is_configuration {
-                shared.versions.store_is_away.set(false);
+                shared.versions.is_store_unreachable.set(false);
                 if !shared.follows() {
                     shared.set_store_state(StoreState::Answers);
                 }
             }
             state.position = next;
-            state.reached = shared.versions.number();
+            state.version_at_position = shared.versions.number();
             if has_changed {
-                tokio::time::sleep(GATHER).await;
+                tokio::time::sleep(CHANGE_BATCH_DELAY).await;
             }
         }
         Err(report) => {
@@ -304,25 +314,27 @@
             }
             state.failures += 1;
             if is_configuration {
-                shared.versions.store_is_away.set(true);
+                shared.versions.is_store_unreachable.set(true);
                 if !shared.follows() {
                     shared.set_store_state(StoreState::Lost);
                 }
             }
-            // Rows may have vanished without a trace in the history while
-            // the store was away, so the table is read anew. A plain read
-            // also shows the store's return sooner than a call that waits.
+            // Rows may have lapsed without a trace in the history while the
+            // store was unreachable, so the whole table is read. A plain read
+            // also shows that the store responds again sooner than a watch
+            // does.
             state.position = None;
-            let spread = rand::rng().random();
-            let pause = backoff_delay(state.failures, shared.store_access(), spread);
-            tokio::time::sleep(pause).await;
+            let jitter = rand::rng().random();
+            let delay = backoff_delay(state.failures, shared.store_access(), jitter);
+            tokio::time::sleep(delay).await;
         }
     }
 }
 
-/// One call to the store; the position from which to go on, `None` to read
-/// the table anew, and whether something had changed.
-async fn step(
+/// Makes one call to the store and applies the result. Returns the position
+/// from which to go on, `None` to read the whole table, and whether anything
+/// had changed.
+async fn query(
     shared: &Rc<MeshShared>,
     state: &mut FeedState,
 ) -> Result<(Option<u64>, bool), Report<StoreError>> {
@@ -336,26 +348,27 @@
     let Some(position) = state.position else {
         let batch = shared.store.read_table(subject.table()).await?;
         let (version, snapshot_time) = (batch.version, batch.snapshot_time);
-        state.notes_era(shared);
-        take_table(shared, subject, batch);
-        confirm(shared, subject, snapshot_time);
+        state.update_era(shared);
+        apply_table(shared, subject, batch);
+        confirm_version(shared, subject, snapshot_time);
         return Ok((Some(version), true));
     };
     let watch = shared
         .store
-        .watch_table(subject.table(), position, subject.wait());
+        .watch_table(subject.table(), position, subject.watch_timeout());
     let answer = tokio::select! {
         answer = watch => answer?,
-        // Guards against a row that vanished while the store was away for the
-        // other feed only, as when this one's call hung all the while: it
-        // would be missed for as long as the call waits.
+        // A row may have lapsed while the store was unreachable for the other
+        // feed only, for instance because this feed's call was pending all the
+        // time. Without the abort, the change would be missed until the watch
+        // times out.
         () = shared.store_returned.notified(), if subject == FeedSubject::Membership => {
             return Ok((None, false));
         }
     };
-    if state.notes_era(shared) {
-        // The place in the former history may lie in this one too, behind rows
-        // that were lost or written since.
+    if state.update_era(shared) {
+        // The position in the earlier history may exist in the restored one
+        // too, after rows that were lost or written since.
         return Ok((None, false));
     }
     match answer {
@@ -368,18 +381,19 @@
             let has_changed = !batch.rows.is_empty();
             for row in batch.rows {
                 match subject {
-                    FeedSubject::Configuration => take_configuration(shared, row),
-                    FeedSubject::Membership => take_member(shared, &row),
+                    FeedSubject::Configuration => apply_configuration_row(shared, row),
+                    FeedSubject::Membership => apply_member_row(shared, &row),
                 }
             }
-            confirm(shared, subject, batch.snapshot_time);
+            confirm_version(shared, subject, batch.snapshot_time);
             Ok((Some(version), has_changed))
         }
     }
 }
 
-/// Takes note that the version in force was the store's newest at `snapshot_time`.
-fn confirm(shared: &MeshShared, subject: FeedSubject, snapshot_time: Option<SnapshotTime>) {
+/// Records that the version in force was the newest in the store at
+/// `snapshot_time`.
+fn confirm_version(shared: &MeshShared, subject: FeedSubject, snapshot_time: Option<SnapshotTime>) {
     if let (FeedSubject::Configuration, Some(snapshot_time)) = (subject, snapshot_time) {
         shared.version_was_confirmed(snapshot_time);
     }
--- a/crates/mesh/src/feeds/take.rs
+++ b/crates/mesh/src/feeds/take.rs
@@ -1,4 +1,4 @@
-//! Takes over what the store says.
+//! Applies what was read from the store.
 
 use std::rc::Rc;
 
@@ -12,12 +12,12 @@
 use crate::rows::decode_member;
 use crate::state::MeshShared;
 
-/// Takes over a table that was read anew.
-pub(super) fn take_table(shared: &Rc<MeshShared>, subject: FeedSubject, batch: RowBatch) {
+/// Applies a table that was read as a whole.
+pub(super) fn apply_table(shared: &Rc<MeshShared>, subject: FeedSubject, batch: RowBatch) {
     match subject {
         FeedSubject::Configuration => {
             for row in batch.rows {
-                take_configuration(shared, row);
+                apply_configuration_row(shared, row);
             }
         }
         FeedSubject::Membership => {
@@ -28,9 +28,9 @@
             shared.rollouts.rows_were_read();
             let mut listed: Vec<PeerAddress> =
                 batch.rows.iter().filter_map(decode_member).collect();
-            listed.retain(|host| !is_back_wrongly(shared, &host.id));
+            listed.retain(|host| !remove_if_restored(shared, &host.id));
             if listed.contains(&shared.own_address()) {
-                shared.see_own_row();
+                shared.own_row_found();
             } else {
                 shared.members.rows.mark_own_unregistered();
             }
@@ -39,23 +39,23 @@
     }
 }
 
-/// Whether `id` is a host that was taken away, listed again by an older copy of
-/// the store; its row is removed again.
-fn is_back_wrongly(shared: &MeshShared, id: &str) -> bool {
-    let answers = shared.peers.get(id).is_some_and(|peer| peer.is_linked());
-    let is_back = shared.members.rows.was_removed(id) && !answers;
-    if is_back {
+/// Whether host `id` has left the fleet and is listed again because the store
+/// was restored from an older copy. Queues the removal of its row if so.
+fn remove_if_restored(shared: &MeshShared, id: &str) -> bool {
+    let is_linked = shared.peers.get(id).is_some_and(|peer| peer.is_linked());
+    let is_restored = shared.members.rows.was_removed(id) && !is_linked;
+    if is_restored {
         log::info!("event=removed_host_listed host={id}");
         shared
             .members
             .rows
             .enqueue_change(RowChange::Remove(id.to_owned()));
     }
-    is_back
+    is_restored
 }
 
-/// Takes over a changed row of the table of hosts.
-pub(super) fn take_member(shared: &Rc<MeshShared>, row: &StoreRow) {
+/// Applies a changed row of the table of hosts.
+pub(super) fn apply_member_row(shared: &Rc<MeshShared>, row: &StoreRow) {
     if is_held_key(&row.key) {
         shared.take_held_rows(std::iter::once(row));
         return;
@@ -65,14 +65,14 @@
         return;
     }
     match decode_member(row) {
-        Some(address) if address == shared.own_address() => shared.see_own_row(),
+        Some(address) if address == shared.own_address() => shared.own_row_found(),
         Some(address) => shared.upsert_host(address, "store"),
-        None => shared.row_is_gone(&row.key, "store"),
+        None => shared.handle_row_removed(&row.key, "store"),
     }
 }
 
-/// Takes over a changed row of the operator's table.
-pub(super) fn take_configuration(shared: &Rc<MeshShared>, row: StoreRow) {
+/// Applies a changed row of the operator's table.
+pub(super) fn apply_configuration_row(shared: &Rc<MeshShared>, row: StoreRow) {
     if row.key != CONFIG_KEY {
         shared.take_rollout_order(&row);
         return;
--- a/crates/mesh/src/members.rs
+++ b/crates/mesh/src/members.rs
@@ -1,4 +1,5 @@
-//! Which hosts there are, and what others are told of them.
+//! The hosts of the fleet as this daemon knows them, and the changes to them
+//! that it relays.
 
 mod tell;
 
@@ -12,82 +13,83 @@
 
 use crate::held_rows::is_held_key;
 use crate::messages::{HostChanges, PeerAddress, RowChange, StoreState};
-use crate::rows::RowBook;
+use crate::rows::RowWriter;
 use crate::state::MeshShared;
 
-/// Hosts that came at once and are told one by one. When a fleet starts, or
-/// comes back from a loss of power, readers learn hundreds from the store, and
-/// so do those that they tell: these get a checksum, and ask if it is not
-/// theirs.
-const MOST_CAME: usize = 32;
+/// Maximum number of added hosts that are sent one by one. When a fleet starts,
+/// or comes back from a loss of power, readers learn hundreds of hosts from the
+/// store, and so do their followers. Beyond this number followers get a
+/// checksum instead, and request the list only if theirs differs.
+const MAX_ADDED_HOSTS_SENT: usize = 32;
 
 /// Time without a call after which a service is no longer linked to, in a fleet
-/// with more services than links are kept for: longer than a slow caller's
-/// usual pause, so that its calls do not wait for links.
-const CALLED_OF_LATE: Duration = Duration::from_mins(10);
+/// with more services than links are kept for. Longer than the usual pause of a
+/// caller with few calls, so that its calls do not wait for links.
+const RECENT_CALL_WINDOW: Duration = Duration::from_mins(10);
 
-/// How this daemon learns what lies in the store.
+/// How this daemon gets the contents of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreRole {
-    /// It asks the store.
+    /// It reads the store itself.
     Reads,
-    /// It is told by a daemon of its zone.
+    /// Its upstreams send them.
     Follows,
 }
 
-/// What became of a host.
-enum HostNews {
-    /// It came, or changed its address.
-    Came(PeerAddress),
-    /// Its row is gone.
-    Gone,
-    /// Its row was written for it.
-    Listed(PeerAddress),
+/// A change to a host that followers have not been sent yet.
+enum HostChange {
+    /// The host was added, or its address changed.
+    Added(PeerAddress),
+    /// The host's row was removed.
+    Removed,
+    /// Another daemon wrote the host's row for it.
+    Registered(PeerAddress),
 }
 
-/// The hosts known, and the plan made of them.
+/// The known hosts, and the link plan based on them.
 pub struct MemberTable {
-    /// The other hosts.
+    /// The other hosts, by name.
     hosts: RefCell<BTreeMap<String, PeerAddress>>,
-    /// Hosts whose row is gone and whose daemon still answers.
-    rowless: RefCell<BTreeSet<String>>,
-    /// Whom this daemon links to and is told by.
+    /// Hosts whose row was removed while their daemon still has a link here.
+    unregistered: RefCell<BTreeSet<String>>,
+    /// The hosts to link to, and the upstreams.
     pub plan: RefCell<LinkPlan>,
-    /// Services called, with when they last were.
-    called: RefCell<HashMap<String, Instant>>,
-    /// Whether the members were read, from the store or from a peer.
+    /// Services that have been called, with the time of the last call.
+    last_calls: RefCell<HashMap<String, Instant>>,
+    /// Whether the hosts have been loaded, from the store or from a peer.
     pub is_known: Cell<bool>,
-    /// Wakes whoever waits for that.
+    /// Wakes tasks that wait for the hosts to be loaded.
     pub became_known: Notify,
-    /// Asks for a new plan.
+    /// Requests a new link plan.
     pub changed: Notify,
-    /// How this daemon learns what lies in the store.
+    /// How this daemon gets the contents of the store.
     pub role: watch::Sender<StoreRole>,
-    /// What those told by this daemon have not heard yet, by host.
-    untold: RefCell<BTreeMap<String, HostNews>>,
-    /// The rows that this daemon sees to.
-    pub rows: RowBook,
-    /// What this daemon has of the store.
+    /// Changes to hosts that followers have not been sent yet, by host name.
+    pending_changes: RefCell<BTreeMap<String, HostChange>>,
+    /// The registration of this host, and the row changes that this daemon
+    /// writes.
+    pub rows: RowWriter,
+    /// What this daemon has announced about its access to the store.
     store: Cell<StoreState>,
-    /// Since when nobody tells it what lies there.
-    untold_since: Cell<Option<Instant>>,
+    /// Since when this daemon has had no upstream; `None` while it has one.
+    without_upstream_since: Cell<Option<Instant>>,
 }
 
 impl Default for MemberTable {
     fn default() -> Self {
         MemberTable {
             hosts: RefCell::default(),
-            rowless: RefCell::default(),
+            unregistered: RefCell::default(),
             plan: RefCell::default(),
-            called: RefCell::default(),
+            last_calls: RefCell::default(),
             is_known: Cell::new(false),
             became_known: Notify::new(),
             changed: Notify::new(),
             role: watch::Sender::new(StoreRole::Reads),
-            untold: RefCell::default(),
-            rows: RowBook::default(),
+            pending_changes: RefCell::default(),
+            rows: RowWriter::default(),
             store: Cell::default(),
-            untold_since: Cell::default(),
+            without_upstream_since: Cell::default(),
         }
     }
 }
@@ -99,7 +101,7 @@
         self.hosts.borrow().len() + 1
     }
 
-    /// Whether there is another host of this name.
+    /// Whether another host has the name `id`.
     #[must_use]
     pub fn has_host(&self, id: &str) -> bool {
         self.hosts.borrow().contains_key(id)
@@ -117,29 +119,29 @@
         self.hosts.borrow().values().cloned().collect()
     }
 
-    /// Notes a call to `service`; true when it is not linked to yet, which is
-    /// asked for.
+    /// Records a call to `service`. Returns `true`, and requests a new link
+    /// plan, when the service is not linked to yet.
     pub fn record_service_call(&self, service: &str, now: Instant) -> bool {
-        let mut called = self.called.borrow_mut();
-        match called.get_mut(service) {
+        let mut last_calls = self.last_calls.borrow_mut();
+        match last_calls.get_mut(service) {
             Some(last) => *last = now,
             None => {
-                called.insert(service.to_owned(), now);
+                last_calls.insert(service.to_owned(), now);
             }
         }
-        let is_left_out = self.plan.borrow().unlinked_services.contains(service);
-        if is_left_out {
+        let is_unlinked = self.plan.borrow().unlinked_services.contains(service);
+        if is_unlinked {
             self.changed.notify_one();
         }
-        is_left_out
+        is_unlinked
     }
 
-    /// The services called of late, the latest first.
+    /// The services called within the last ten minutes, the latest first.
     #[must_use]
     pub fn recently_called_services(&self, now: Instant) -> Vec<String> {
-        let mut called = self.called.borrow_mut();
-        called.retain(|_, last| now < *last + CALLED_OF_LATE);
-        let mut latest: Vec<_> = called.iter().collect();
+        let mut last_calls = self.last_calls.borrow_mut();
+        last_calls.retain(|_, last| now < *last + RECENT_CALL_WINDOW);
+        let mut latest: Vec<_> = last_calls.iter().collect();
         latest.sort_unstable_by_key(|(service, last)| (Reverse(**last), *service));
         latest
             .into_iter()
@@ -147,35 +149,39 @@
             .collect()
     }
 
-    /// Whether this daemon tells its zone what lies in the store.
+    /// Whether this daemon relays the contents of the store to its availability
+    /// zone.
     #[must_use]
     pub fn is_reader(&self) -> bool {
         self.plan.borrow().is_reader
     }
 
-    /// Whether this daemon asks the store for the fleet.
+    /// Whether this daemon reads the store for the whole fleet.
     #[must_use]
     pub fn is_source(&self) -> bool {
         self.plan.borrow().is_source
     }
 
-    /// Notes whether others tell this daemon what lies in the store; since how
-    /// long nobody does.
-    pub fn note_told(&self, is_told: bool, now: Instant) -> Option<Duration> {
-        let since = self.untold_since.get().unwrap_or(now);
-        self.untold_since.set((!is_told).then_some(since));
-        (!is_told).then(|| now.saturating_duration_since(since))
+    /// Records whether this daemon has an upstream at `now`. Returns for how
+    /// long it has had none; `None` when it has one.
+    pub fn time_without_upstream(&self, has_upstream: bool, now: Instant) -> Option<Duration> {
+        let since = self.without_upstream_since.get().unwrap_or(now);
+        self.without_upstream_since
+            .set((!has_upstream).then_some(since));
+        (!has_upstream).then(|| now.saturating_duration_since(since))
     }
 
-    /// Notes what became of a host for those told by this daemon.
-    fn note_news(&self, id: &str, news: HostNews) {
-        self.untold.borrow_mut().insert(id.to_owned(), news);
+    /// Queues a change to host `id` for the followers.
+    fn queue_change(&self, id: &str, change: HostChange) {
+        self.pending_changes
+            .borrow_mut()
+            .insert(id.to_owned(), change);
         self.changed.notify_one();
     }
 }
 
 impl MeshShared {
-    /// Adds a host or takes over its new address.
+    /// Adds a host or updates its address.
     pub fn upsert_host(&self, address: PeerAddress, from: &str) {
         let own = self.own_address();
         if address.id == own.id {
@@ -184,7 +190,7 @@
             }
             return;
         }
-        self.members.rowless.borrow_mut().remove(&address.id);
+        self.members.unregistered.borrow_mut().remove(&address.id);
         let mut hosts = self.members.hosts.borrow_mut();
         if hosts.get(&address.id) == Some(&address) {
             return;
@@ -199,127 +205,131 @@
         let id = address.id.clone();
         hosts.insert(id.clone(), address.clone());
         drop(hosts);
-        // Told however it was learnt: the row of a host that said hello first
-        // is no news any more when it is read.
-        self.members.note_news(&id, HostNews::Came(address));
+        // The change is sent wherever it was learnt from: the row of a host
+        // that said hello first is no change any more when it is read.
+        self.members.queue_change(&id, HostChange::Added(address));
     }
 
-    /// Notes that this host's row is in the store, and right.
-    pub fn see_own_row(&self) {
+    /// Records that this host's row is in the store, with the right contents.
+    pub fn own_row_found(&self) {
         if self.members.rows.mark_own_registered() {
             self.members.changed.notify_one();
         }
     }
 
-    /// Takes over changes of hosts told by `from`.
+    /// Applies changes to hosts that daemon `from` has sent.
     pub fn apply_host_changes(&self, changes: HostChanges, from: &str) {
-        let passes_on = self.passes_on(from);
+        let relays_from = self.relays_from(from);
         for address in changes.came {
             self.upsert_host(address, from);
         }
         for id in &changes.gone {
-            if passes_on {
-                self.members.note_news(id, HostNews::Gone);
+            if relays_from {
+                self.members.queue_change(id, HostChange::Removed);
             }
-            self.forget_host(id, from);
+            self.remove_unlinked_host(id, from);
         }
         let own = self.settings.borrow().id.clone();
         for id in &changes.listed {
             if *id == own {
-                self.see_own_row();
-            } else if passes_on {
-                self.pass_listed(id);
+                self.own_row_found();
+            } else if relays_from {
+                self.relay_registration(id);
             }
         }
     }
 
-    /// Whether this daemon tells others what `from` tells it: a reader passes on
-    /// what sources say. Sources tell each other nothing further, or it would
-    /// go back and forth between them for ever.
-    fn passes_on(&self, from: &str) -> bool {
+    /// Whether this daemon relays changes sent by `from` to its followers. A
+    /// reader relays what sources send; sources relay nothing from each other,
+    /// or changes would go back and forth between them forever.
+    fn relays_from(&self, from: &str) -> bool {
         let plan = self.members.plan.borrow();
         !plan.is_source && plan.sources.contains(from)
     }
 
-    fn pass_listed(&self, id: &str) {
+    fn relay_registration(&self, id: &str) {
         let address = self.members.hosts.borrow().get(id).cloned();
         if let Some(address) = address {
-            self.members.note_news(id, HostNews::Listed(address));
+            self.members
+                .queue_change(id, HostChange::Registered(address));
         }
     }
 
-    /// Takes word that this daemon changed rows.
-    pub fn rows_have_changed(&self, changes: &[RowChange]) {
+    /// Applies row changes that this daemon has written to the store.
+    pub fn apply_written_changes(&self, changes: &[RowChange]) {
         for change in changes {
             match change {
-                RowChange::Write(address) if *address == self.own_address() => self.see_own_row(),
+                RowChange::Write(address) if *address == self.own_address() => self.own_row_found(),
                 RowChange::Write(address) => {
                     self.upsert_host(address.clone(), "store");
-                    self.pass_listed(&address.id);
+                    self.relay_registration(&address.id);
                 }
                 RowChange::Remove(key) if is_held_key(key) => {}
-                RowChange::Remove(id) => self.row_is_gone(id, "store"),
+                RowChange::Remove(id) => self.handle_row_removed(id, "store"),
                 RowChange::Hold(_) => {}
             }
         }
     }
 
-    /// Takes word that a host's row is gone from the store, and passes it on: a
-    /// live host hears of it so, and has it written again.
-    pub fn row_is_gone(&self, id: &str, from: &str) {
-        self.members.note_news(id, HostNews::Gone);
-        self.forget_host(id, from);
+    /// Records that a host's row was removed from the store, and relays this. A
+    /// live host learns of it that way and has its row written again.
+    pub fn handle_row_removed(&self, id: &str, from: &str) {
+        self.members.queue_change(id, HostChange::Removed);
+        self.remove_unlinked_host(id, from);
     }
 
-    /// Removes a host whose row is gone, as soon as its daemon does not answer:
-    /// rows vanish while the store is away, and their hosts write them back;
-    /// a host that is taken away removes its row just before its daemon ends.
-    pub fn forget_host(&self, id: &str, from: &str) {
+    /// Removes a host whose row was removed, as soon as there is no link to its
+    /// daemon. Rows lapse while the store is unreachable, and their hosts write
+    /// them again; a host that leaves the fleet removes its row just before its
+    /// daemon ends.
+    pub fn remove_unlinked_host(&self, id: &str, from: &str) {
         if id == self.settings.borrow().id {
             self.members.rows.mark_own_unregistered();
             return;
         }
         if self.peers.get(id).is_some_and(|peer| peer.is_linked()) {
-            self.members.rowless.borrow_mut().insert(id.to_owned());
+            self.members.unregistered.borrow_mut().insert(id.to_owned());
             return;
         }
-        self.drop_host(id, from);
+        self.remove_host(id, from);
     }
 
-    /// Takes word of `other` that it is at the address of `lost`, which is gone for
-    /// good.
+    /// Handles the reply of host `other` that it is now at the address of
+    /// `lost`, which is gone for good.
     ///
-    /// Guards against a host that seems to live on in the one that has its
-    /// address now: two such hosts were the readers of a zone, its 70 daemons
-    /// waited to be told by them, and each asked the store by itself meanwhile.
+    /// Without this, a lost host seems to be alive at the address that another
+    /// host has now: two such hosts were elected readers of a zone, and its 70
+    /// daemons waited for them as upstreams while each read the store by
+    /// itself.
     pub fn handle_host_replaced(&self, lost: &PeerAddress, other: PeerAddress) {
         log::info!("event=host_replaced host={} by={}", lost.id, other.id);
-        // It may have moved meanwhile, and be found elsewhere.
+        // The lost host may have moved and be known at another address by now.
         let is_known_there = self.members.hosts.borrow().get(&lost.id) == Some(lost);
         if is_known_there {
             self.request_row_change(RowChange::Remove(lost.id.clone()), false);
-            self.drop_host(&lost.id, "replaced");
+            self.remove_host(&lost.id, "replaced");
         }
         self.upsert_host(other, "replaced");
     }
 
-    /// Takes note that the link to a host is down.
+    /// Records that the link to host `id` is down, and removes the host if its
+    /// row was removed before.
     pub fn handle_link_down(&self, id: &str) {
-        if self.members.rowless.borrow_mut().remove(id) {
-            self.drop_host(id, "link_down");
+        if self.members.unregistered.borrow_mut().remove(id) {
+            self.remove_host(id, "link_down");
         }
         self.members.changed.notify_one();
     }
 
-    fn drop_host(&self, id: &str, from: &str) {
+    fn remove_host(&self, id: &str, from: &str) {
         if self.members.hosts.borrow_mut().remove(id).is_some() {
             log::info!("event=host_forgotten host={id} from={from}");
             self.members.changed.notify_one();
         }
     }
 
-    /// Takes over a whole list of hosts, and tells those told by this daemon
-    /// who is not on it.
+    /// Replaces the known hosts with a complete list, and queues the hosts that
+    /// are not on it as removed for the followers.
     pub fn apply_member_list(&self, listed: Vec<PeerAddress>, from: &str) {
         log::info!("event=members_taken hosts={} from={from}", listed.len());
         let own = self.own_address();
@@ -332,7 +342,7 @@
             .cloned()
             .collect();
         for id in gone {
-            self.row_is_gone(&id, from);
+            self.handle_row_removed(&id, from);
         }
         for address in listed {
             if address.id != own.id {
--- a/crates/mesh/src/members/tell.rs
+++ b/crates/mesh/src/members/tell.rs
@@ -1,13 +1,13 @@
-//! What others are told of hosts and of the store.
+//! Messages to other daemons about hosts and about access to the store.
 
 use twox_hash::XxHash64;
 
-use super::{HostNews, MOST_CAME};
+use super::{HostChange, MAX_ADDED_HOSTS_SENT};
 use crate::messages::{encode, HostChanges, HostList, LinkMessage, PeerAddress, StoreState};
 use crate::state::MeshShared;
 
 impl MeshShared {
-    /// Every host known, this one included, as told to another daemon.
+    /// The message that lists every known host, this one included.
     #[must_use]
     pub fn member_list(&self) -> LinkMessage {
         let mut hosts = self.members.hosts();
@@ -15,46 +15,50 @@
         LinkMessage::Members(HostList::pack(&hosts))
     }
 
-    /// A checksum of that list.
+    /// Checksum of the hosts in [`Self::member_list`], independent of their
+    /// order.
     #[must_use]
     pub fn members_sum(&self) -> u64 {
-        let sum_of = |address: &PeerAddress| XxHash64::oneshot(0, &encode(address));
+        let checksum_of = |address: &PeerAddress| XxHash64::oneshot(0, &encode(address));
         let hosts = self.members.hosts.borrow();
-        let others = hosts.values().map(sum_of);
-        others.fold(sum_of(&self.own_address()), |sum, one| sum ^ one)
+        let others = hosts.values().map(checksum_of);
+        others.fold(checksum_of(&self.own_address()), |total, checksum| {
+            total ^ checksum
+        })
     }
 
-    /// Tells the daemons that follow this one.
+    /// Sends `message` to the daemons that follow this one.
     pub fn send_to_followers(&self, message: &LinkMessage) {
         let zone = self.settings.borrow().zone.clone();
         self.peers.broadcast_to_followers(&zone, &encode(message));
     }
 
-    /// Tells those that follow this daemon which hosts came and went. Many at
-    /// once, as when a fleet starts, go in one message.
-    pub fn tell_changes(&self) {
-        let untold = self.members.untold.take();
-        if untold.is_empty() {
+    /// Sends the queued changes to hosts to the followers. Many changes, as
+    /// when a fleet starts, go in one message.
+    pub fn send_host_changes(&self) {
+        let pending_changes = self.members.pending_changes.take();
+        if pending_changes.is_empty() {
             return;
         }
         let mut changes = HostChanges::default();
-        for (id, news) in untold {
-            match news {
-                HostNews::Came(address) => changes.came.push(address),
-                HostNews::Gone => changes.gone.push(id),
-                HostNews::Listed(address) => {
+        for (id, change) in pending_changes {
+            match change {
+                HostChange::Added(address) => changes.came.push(address),
+                HostChange::Removed => changes.gone.push(id),
+                HostChange::Registered(address) => {
                     changes.came.push(address);
                     changes.listed.push(id);
                 }
             }
         }
         if !self.members.is_reader() {
-            // Others tell of hosts; of the rows that it wrote it tells itself,
-            // also where it has handed that over to another by now.
+            // Only readers relay changes to hosts. A daemon reports the rows
+            // that it has written itself, even if it is no longer a reader by
+            // now.
             changes.came.clear();
             changes.gone.clear();
         }
-        if changes.came.len() > MOST_CAME {
+        if changes.came.len() > MAX_ADDED_HOSTS_SENT {
             changes.came.clear();
             self.send_to_followers(&LinkMessage::MembersSum(self.members_sum()));
         }
@@ -63,19 +67,21 @@
         }
     }
 
-    /// What this daemon has of the store.
+    /// This daemon's access to the store, as last announced.
     #[must_use]
     pub fn store_state(&self) -> StoreState {
         self.members.store.get()
     }
 
-    /// Notes what this daemon has of the store, and tells those linked here.
+    /// Updates this daemon's access to the store, and announces a change to the
+    /// daemons that are linked here.
     pub fn set_store_state(&self, state: StoreState) {
         if self.members.store.replace(state) == state {
             return;
         }
         if state.is_current() {
-            // Those that linked here before were not told whom it knows.
+            // Daemons that linked here earlier were not sent the checksum of
+            // the hosts.
             self.send_to_followers(&LinkMessage::MembersSum(self.members_sum()));
         }
         self.peers.broadcast(&encode(&LinkMessage::Store(state)));
--- a/crates/mesh/src/plan.rs
+++ b/crates/mesh/src/plan.rs
@@ -1,5 +1,5 @@
-//! Plans which hosts this daemon links to, and settles who tells it what lies
-//! in the store.
+//! Maintains the link plan of this daemon, and decides whether it reads the
+//! store itself or follows its upstreams.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -14,22 +14,24 @@
 use crate::peers::Peer;
 use crate::state::MeshShared;
 
-/// Pause in which changes gather before links are planned anew: hosts come
-/// and go in numbers.
-const GATHER: Duration = Duration::from_millis(20);
+/// Delay before links are planned again, so that changes are batched: hosts
+/// often join and leave in large numbers.
+const REPLAN_DELAY: Duration = Duration::from_millis(20);
 
-/// How often links are planned anew though nothing came or went, so that
-/// services that nobody calls any more are let go.
-const PLAN_AT_LEAST: Duration = Duration::from_mins(1);
+/// Interval at which links are planned again without any change, so that links
+/// to services that are no longer called are released.
+const REPLAN_INTERVAL: Duration = Duration::from_mins(1);
 
-/// Time without a daemon that tells this one before it asks the store itself.
-/// Links fall silent for a moment on hosts with a tenth of a core; asking costs
-/// two calls and the whole configuration. Short of what a version has, with the
-/// 1.25 s after which a link counts as silent.
-const UNTOLD_FOR: Duration = Duration::from_millis(300);
+/// Time without an upstream before this daemon reads the store itself. Links on
+/// hosts with a tenth of a core are briefly unresponsive at times, and reading
+/// the store costs two calls and the whole configuration. Together with the
+/// 1.25 s after which a link counts as unresponsive, it stays below the time in
+/// which a version has to be in force.
+const UPSTREAM_LOSS_GRACE: Duration = Duration::from_millis(300);
 
 impl MeshShared {
-    /// The linked daemons that are to tell this one what lies in the store.
+    /// The upstreams that this daemon has a link to: the daemons that send it
+    /// the contents of the store. Empty on a source.
     #[must_use]
     pub fn linked_upstreams(&self) -> Vec<Rc<Peer>> {
         let plan = self.members.plan.borrow();
@@ -43,7 +45,8 @@
             .collect()
     }
 
-    /// For whom this daemon asks the store.
+    /// Whether this daemon reads the store for the fleet or for its own host
+    /// only.
     #[must_use]
     pub fn store_access(&self) -> StoreAccess {
         if self.members.is_source() {
@@ -53,21 +56,26 @@
         }
     }
 
-    /// Whether `id` tells this daemon what lies in the store.
+    /// Whether host `id` is an upstream of this daemon.
     #[must_use]
     pub fn is_upstream(&self, id: &str) -> bool {
         self.members.plan.borrow().upstreams().contains(id)
     }
 
-    /// Settles whether this daemon asks the store or is told; when to look
-    /// again, if that is due soon.
-    fn take_role(&self) -> Option<Duration> {
+    /// Updates whether this daemon reads the store or follows its upstreams.
+    /// Returns the time after which to check again, if it has lost its
+    /// upstreams only recently.
+    fn update_role(&self) -> Option<Duration> {
         let mut upstreams = self.linked_upstreams();
         upstreams.retain(|peer| peer.store.get().tells());
         let now = self.clock.now();
-        let untold_for = self.members.note_told(!upstreams.is_empty(), now);
+        let without_upstream_for = self
+            .members
+            .time_without_upstream(!upstreams.is_empty(), now);
         let may_wait = !self.members.is_source() && self.follows();
-        let role = if untold_for.is_none() || (may_wait && untold_for < Some(UNTOLD_FOR)) {
+        let role = if without_upstream_for.is_none()
+            || (may_wait && without_upstream_for < Some(UPSTREAM_LOSS_GRACE))
+        {
             StoreRole::Follows
         } else {
             StoreRole::Reads
@@ -80,15 +88,15 @@
             log::info!("event=store_role role={role:?}");
         }
         if role == StoreRole::Follows {
-            self.pass_on(&upstreams);
-            return untold_for.map(|passed| UNTOLD_FOR.saturating_sub(passed));
+            self.relay_upstreams(&upstreams);
+            return without_upstream_for.map(|passed| UPSTREAM_LOSS_GRACE.saturating_sub(passed));
         }
         None
     }
 
-    /// Readers pass on what they are told: they follow those that tell them,
-    /// and say so to others.
-    fn pass_on(&self, upstreams: &[Rc<Peer>]) {
+    /// Makes a reader relay what its upstreams send: it requests host updates
+    /// from `upstreams` and announces that it relays the store.
+    fn relay_upstreams(&self, upstreams: &[Rc<Peer>]) {
         if self.members.is_reader() {
             self.set_store_state(StoreState::Told);
             for upstream in upstreams {
@@ -99,14 +107,14 @@
         }
     }
 
-    /// Whether this daemon is told what lies in the store.
+    /// Whether this daemon gets the contents of the store from its upstreams.
     #[must_use]
     pub fn follows(&self) -> bool {
         *self.members.role.borrow() == StoreRole::Follows
     }
 
-    /// Plans the links anew and opens and releases links accordingly.
-    fn plan_anew(self: &Rc<Self>) {
+    /// Plans the links again, and opens and releases links accordingly.
+    fn replan_links(self: &Rc<Self>) {
         let own = self.own_address();
         let hosts = self.members.hosts_by_name();
         let others: Vec<HostView<'_>> = hosts
@@ -131,16 +139,17 @@
             service: &own.service,
             reachability: Reachability::Reachable,
             lost_store: false,
-            is_registered: self.members.rows.was_own_seen(),
+            is_registered: self.members.rows.was_own_registered(),
         };
-        let called = self.members.recently_called_services(self.clock.now());
-        let called: Vec<&str> = called.iter().map(String::as_str).collect();
+        let recently_called = self.members.recently_called_services(self.clock.now());
+        let recently_called: Vec<&str> = recently_called.iter().map(String::as_str).collect();
         let limits = LinkLimits {
             services: self.settings.borrow().link.services,
             ..LinkLimits::default()
         };
-        let mut plan = plan_links(&own_view, &others, &called, &limits);
-        // A few targets are tried by the whole fleet.
+        let mut plan = plan_links(&own_view, &others, &recently_called, &limits);
+        // Targets with a new software version under trial get calls from the
+        // whole fleet.
         let canaries = self.rollouts.canaries().into_iter();
         plan.links
             .extend(canaries.filter(|id| hosts.contains_key(id)));
@@ -177,14 +186,15 @@
     }
 }
 
-/// Plans links anew whenever something changes. Runs for ever.
+/// Plans the links again whenever something changes. Never returns.
 pub async fn maintain_link_plan(shared: Rc<MeshShared>) {
     loop {
-        shared.plan_anew();
-        let look_again = shared.take_role().unwrap_or(PLAN_AT_LEAST);
-        shared.tell_changes();
-        // Nothing changed for a while: planned anew all the same.
-        let _ = tokio::time::timeout(look_again, shared.members.changed.notified()).await;
-        tokio::time::sleep(GATHER).await;
+        shared.replan_links();
+        let check_again_in = shared.update_role().unwrap_or(REPLAN_INTERVAL);
+        shared.send_host_changes();
+        // A timeout is no error: the links are planned again even without a
+        // change.
+        let _ = tokio::time::timeout(check_again_in, shared.members.changed.notified()).await;
+        tokio::time::sleep(REPLAN_DELAY).await;
     }
 }
--- a/crates/mesh/src/row_value.rs
+++ b/crates/mesh/src/row_value.rs
@@ -1,8 +1,9 @@
-//! Values of our rows in the store: `bincode`, and nothing behind it.
+//! Encoding of the values of the mesh's rows in the store: one `bincode` value
+//! without trailing bytes.
 
 use serde::{de::DeserializeOwned, Serialize};
 
-/// The value of a row that says `content`.
+/// Encodes `content` as the value of a row.
 ///
 /// # Panics
 /// Never: rows hold only plain data, which bincode always encodes.
@@ -12,17 +13,18 @@
         .expect("a row of plain data always encodes")
 }
 
-/// What a row with `value` says.
+/// Decodes the value of a row.
 ///
 /// # Errors
-/// Why it says nothing: other bytes, or more of them. Another writer's may
-/// decode all the same; what they name is for the reader to check.
+/// The reason as a text when `value` does not decode as `T` or has trailing
+/// bytes. Bytes that another program wrote may decode by chance; the caller
+/// must check the contents.
 pub fn decode<T: DeserializeOwned>(value: &[u8]) -> Result<T, String> {
     let (content, used) = bincode::serde::decode_from_slice(value, bincode::config::standard())
         .map_err(|error| error.to_string())?;
     if used == value.len() {
         Ok(content)
     } else {
-        Err("bytes behind its content".to_owned())
+        Err("trailing bytes after the content".to_owned())
     }
 }
--- a/crates/mesh/src/rows.rs
+++ b/crates/mesh/src/rows.rs
@@ -1,5 +1,5 @@
-//! The rows in which daemons say where they are: this host's own, and those
-//! that this daemon writes for others.
+//! The rows with which daemons register their hosts in the store: the row of
+//! this host, and those that this daemon writes for others.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,95 +19,99 @@
 use crate::row_value;
 use crate::state::MeshShared;
 
-/// The table in which daemons say where they are, a row a host.
+/// Name of the table in which hosts are registered, one row for each.
 pub const HOSTS_TABLE: &str = "filbert-hosts";
-/// Time in which changes of rows gather. Hosts come in numbers: a fleet's
-/// first start, or the replacement of a service's targets one by one. In one
-/// call they cost as much as a single one.
-const GATHER: Duration = Duration::from_millis(200);
-/// The same before a first version is in force: the fleet has just begun, and its
-/// hosts come over seconds.
-const GATHER_FIRST: Duration = Duration::from_millis(800);
-/// Time for another daemon to see to this host's row: the gathering, a call to
-/// the store and the way back, twice over.
-const SEEN_TO_WITHIN: Duration = Duration::from_millis(1_500);
-/// Times that other daemons are asked to see to this host's row before it
+/// Time for which row changes are batched before they are written. Changes come
+/// in bursts, when a fleet starts for the first time or the targets of a
+/// service are replaced one by one; a call with many changes costs as much as
+/// one with a single change.
+const WRITE_BATCH_DELAY: Duration = Duration::from_millis(200);
+/// Like `WRITE_BATCH_DELAY`, while no version is in force: the fleet has just
+/// been started, and its hosts join over several seconds.
+const BOOTSTRAP_BATCH_DELAY: Duration = Duration::from_millis(800);
+/// Time for an upstream to write this host's row before the next attempt: twice
+/// the batch delay, a call to the store and the way back.
+const OWN_ROW_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Number of requests to upstreams to write this host's row before this daemon
 /// writes it itself.
-const TELLER_TRIES: u32 = 4;
-/// Removed rows remembered.
-const MOST_REMOVED: usize = 512;
-/// Longest time that a planned stop waits for its row to be removed.
-const PARTING_TIME: Duration = Duration::from_millis(600);
+const MAX_UPSTREAM_ATTEMPTS: u32 = 4;
+/// Maximum number of removed rows that are remembered.
+const MAX_REMOVED_ROWS: usize = 512;
+/// Maximum time that a planned stop waits for the removal of its row.
+const ROW_REMOVAL_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// The rows that this daemon sees to.
+/// The registration of this host, and the row changes that this daemon writes.
 #[derive(Default)]
-pub struct RowBook {
-    /// Changes to be made, by host.
-    wanted: RefCell<BTreeMap<String, RowChange>>,
-    /// Wakes the writer.
-    has_wanted: Notify,
+pub struct RowWriter {
+    /// Changes not yet written, by row key.
+    pending: RefCell<BTreeMap<String, RowChange>>,
+    /// Wakes the row writer.
+    has_pending: Notify,
     /// Whether this host's row is in the store, as far as is known.
-    is_own_seen: Cell<bool>,
-    /// Whether it ever was since this daemon started.
-    was_own_seen: Cell<bool>,
-    /// Whether the next changes are made without waiting for others.
-    is_urgent: Cell<bool>,
-    /// Asks for this host's row to be written (again).
-    own_missing: Notify,
-    /// Wakes whoever waits for word of this host's row.
-    own_changed: Notify,
-    /// Hosts whose row this daemon removed.
+    is_own_registered: Cell<bool>,
+    /// Whether this host's row has been in the store at any time since this
+    /// daemon started.
+    was_own_registered: Cell<bool>,
+    /// Whether the next changes are written without the batch delay.
+    skip_batch_delay: Cell<bool>,
+    /// Wakes the task that registers this host.
+    own_unregistered: Notify,
+    /// Wakes tasks that wait for a change of this host's registration.
+    own_row_changed: Notify,
+    /// Names of the hosts whose row this daemon has removed.
     removed: RefCell<BTreeSet<String>>,
-    /// Whether this host is being taken away: its row is not written again.
-    is_parting: Cell<bool>,
+    /// Whether this host is leaving the fleet: its row is not written again.
+    is_leaving: Cell<bool>,
 }
 
-impl RowBook {
-    /// Notes that this host's row is missing or wrong.
+impl RowWriter {
+    /// Records that this host's row is missing or wrong, and requests that it
+    /// is written.
     pub fn mark_own_unregistered(&self) {
-        self.is_own_seen.set(false);
-        self.own_missing.notify_one();
-        self.own_changed.notify_waiters();
+        self.is_own_registered.set(false);
+        self.own_unregistered.notify_one();
+        self.own_row_changed.notify_waiters();
     }
 
-    /// Notes that this host's row is there; whether that is news.
+    /// Records that this host's row is in the store. Returns whether this is a
+    /// change.
     pub fn mark_own_registered(&self) -> bool {
-        self.was_own_seen.set(true);
-        let is_news = !self.is_own_seen.replace(true);
-        if is_news {
-            self.own_changed.notify_waiters();
+        self.was_own_registered.set(true);
+        let is_change = !self.is_own_registered.replace(true);
+        if is_change {
+            self.own_row_changed.notify_waiters();
         }
-        is_news
+        is_change
     }
 
-    /// Whether this host's row is there, as far as is known.
+    /// Whether this host's row is in the store, as far as is known.
     #[must_use]
-    pub fn is_own_seen(&self) -> bool {
-        self.is_own_seen.get()
+    pub fn is_own_registered(&self) -> bool {
+        self.is_own_registered.get()
     }
 
-    /// Whether it was, at any time since this daemon started. Rows lapse all at
-    /// once while the store is away; that changes nothing about who asks it.
+    /// Whether this host's row has been in the store at any time since this
+    /// daemon started. All rows lapse at once while the store is unreachable;
+    /// that must not change which daemons are elected to read it.
     #[must_use]
-    pub fn was_own_seen(&self) -> bool {
-        self.was_own_seen.get()
+    pub fn was_own_registered(&self) -> bool {
+        self.was_own_registered.get()
     }
 
-    /// Whether this daemon removed the row of `id`.
-    ///
-    /// Guards against hosts that were taken away and are listed again, as the
-    /// store came back from an older copy.
+    /// Whether this daemon has removed the row of host `id`. Detects hosts that
+    /// have left the fleet and are listed again because the store was restored
+    /// from an older copy.
     #[must_use]
     pub fn was_removed(&self, id: &str) -> bool {
         self.removed.borrow().contains(id)
     }
 
-    /// Notes a change that was made.
-    fn note_made(&self, change: &RowChange) {
+    /// Records that a change has been written.
+    fn record_written(&self, change: &RowChange) {
         let mut removed = self.removed.borrow_mut();
         match change {
             RowChange::Remove(id) if !is_held_key(id) => {
-                if removed.len() >= MOST_REMOVED {
+                if removed.len() >= MAX_REMOVED_ROWS {
                     removed.pop_first();
                 }
                 removed.insert(id.clone());
@@ -119,41 +123,44 @@
         }
     }
 
-    /// Has a change made by this daemon.
+    /// Queues a change for the row writer. It replaces an earlier change of the
+    /// same row.
     pub fn enqueue_change(&self, change: RowChange) {
         let id = change.key();
-        self.wanted.borrow_mut().insert(id, change);
-        self.has_wanted.notify_one();
+        self.pending.borrow_mut().insert(id, change);
+        self.has_pending.notify_one();
     }
 
-    /// The next changes, as many as one call takes.
-    fn take(&self) -> Vec<RowChange> {
-        let mut wanted = self.wanted.borrow_mut();
-        let ids: Vec<String> = wanted
+    /// Takes the next changes from the queue, as many as fit in one
+    /// transaction.
+    fn take_batch(&self) -> Vec<RowChange> {
+        let mut pending = self.pending.borrow_mut();
+        let ids: Vec<String> = pending
             .keys()
             .take(MAX_EDITS_PER_TRANSACTION)
             .cloned()
             .collect();
-        ids.iter().filter_map(|id| wanted.remove(id)).collect()
+        ids.iter().filter_map(|id| pending.remove(id)).collect()
     }
 
-    /// Puts changes that failed back, but for those that newer ones replace.
-    fn put_back(&self, changes: Vec<RowChange>) {
-        let mut wanted = self.wanted.borrow_mut();
+    /// Queues changes again whose write failed, except those that newer changes
+    /// replace.
+    fn requeue(&self, changes: Vec<RowChange>) {
+        let mut pending = self.pending.borrow_mut();
         for change in changes {
             let id = change.key();
-            wanted.entry(id).or_insert(change);
+            pending.entry(id).or_insert(change);
         }
-        self.has_wanted.notify_one();
+        self.has_pending.notify_one();
     }
 }
 
 impl MeshShared {
-    /// Sees to a change of a row: here, if this daemon asks the store, or by a
-    /// daemon that tells it what lies there. `is_passed_on` says whether another
-    /// daemon asked for it.
+    /// Has a row changed by an upstream, or by this daemon if it reads the
+    /// store itself or no upstream can take the request. `is_passed_on` is
+    /// whether another daemon requested the change.
     pub fn request_row_change(&self, change: RowChange, is_passed_on: bool) {
-        // One that asks the store itself first, else one that is told.
+        // Prefer an upstream that reads the store to one that only relays it.
         let upstream = self
             .linked_upstreams()
             .into_iter()
@@ -163,42 +170,48 @@
             change: change.clone(),
             is_passed_on,
         };
-        let is_seen_to = self.follows() && upstream.is_some_and(|upstream| upstream.say(message));
-        if !is_seen_to {
+        let is_delegated = self.follows() && upstream.is_some_and(|upstream| upstream.say(message));
+        if !is_delegated {
             self.members.rows.enqueue_change(change);
         }
     }
 }
 
-/// Makes the changes of rows that this daemon sees to. Runs for ever.
+/// Writes the queued row changes to the store. Never returns.
 pub async fn run_row_writer(shared: Rc<MeshShared>) {
     let rows = &shared.members.rows;
     let mut failures = 0;
     loop {
-        if rows.wanted.borrow().is_empty() {
-            rows.has_wanted.notified().await;
+        if rows.pending.borrow().is_empty() {
+            rows.has_pending.notified().await;
         }
-        if !rows.is_urgent.take() {
+        if !rows.skip_batch_delay.take() {
             let has_version = shared.versions.number() > 0;
-            tokio::time::sleep(if has_version { GATHER } else { GATHER_FIRST }).await;
+            tokio::time::sleep(if has_version {
+                WRITE_BATCH_DELAY
+            } else {
+                BOOTSTRAP_BATCH_DELAY
+            })
+            .await;
         }
-        let changes = rows.take();
+        let changes = rows.take_batch();
         if changes.is_empty() {
             continue;
         }
-        if write(&shared, &changes).await {
+        if write_changes(&shared, &changes).await {
             failures = 0;
             continue;
         }
         failures += 1;
-        rows.put_back(changes);
-        let spread = rand::rng().random();
-        tokio::time::sleep(backoff_delay(failures, shared.store_access(), spread)).await;
+        rows.requeue(changes);
+        let jitter = rand::rng().random();
+        tokio::time::sleep(backoff_delay(failures, shared.store_access(), jitter)).await;
     }
 }
 
-/// Makes `changes`; whether the store said that they are made.
-async fn write(shared: &MeshShared, changes: &[RowChange]) -> bool {
+/// Writes `changes` in one transaction. Returns whether the store has confirmed
+/// it.
+async fn write_changes(shared: &MeshShared, changes: &[RowChange]) -> bool {
     let keys: Vec<String> = changes.iter().map(RowChange::key).collect();
     let edits: Vec<RowEdit<'_>> = changes
         .iter()
@@ -217,7 +230,7 @@
         Ok(()) => {
             shared.metrics.store_call("rows", "answered");
             for (change, key) in changes.iter().zip(&keys) {
-                shared.members.rows.note_made(change);
+                shared.members.rows.record_written(change);
                 let is_own = *key == shared.settings.borrow().id;
                 let row = if is_own { "own_row" } else { "row" };
                 match change {
@@ -230,7 +243,7 @@
                     }
                 }
             }
-            shared.rows_have_changed(changes);
+            shared.apply_written_changes(changes);
             true
         }
         Err(report) => {
@@ -245,63 +258,64 @@
     }
 }
 
-/// Has this host's row written whenever it is missing or wrong. Runs for ever.
+/// Registers this host whenever its row is missing or wrong. Never returns.
 pub async fn maintain_own_row(shared: Rc<MeshShared>) {
     let rows = &shared.members.rows;
     loop {
-        rows.own_missing.notified().await;
+        rows.own_unregistered.notified().await;
         if shared.members.count() == 1 {
-            // The first of a fleet: the sooner it is in the table, the fewer
-            // others find nobody there and write their own.
-            rows.is_urgent.set(true);
+            // This is the first host of a fleet. The sooner it is in the table,
+            // the fewer others find an empty table and write their own rows.
+            rows.skip_batch_delay.set(true);
         } else {
-            // Whoever can see to it may not be linked yet.
+            // The links to the upstreams may not be up yet.
             feeds::await_plan(&shared).await;
         }
-        let mut tries = 0;
-        while !rows.is_parting.get() && !rows.is_own_seen() {
+        let mut attempts = 0;
+        while !rows.is_leaving.get() && !rows.is_own_registered() {
             let change = RowChange::Write(shared.own_address());
-            // Guards against tellers that take the change and do not make it.
-            if tries >= TELLER_TRIES {
+            // An upstream may accept the change and never write it.
+            if attempts >= MAX_UPSTREAM_ATTEMPTS {
                 rows.enqueue_change(change);
             } else {
                 shared.request_row_change(change, false);
             }
-            tries += 1;
-            let seen = rows.own_changed.notified();
-            let _ = tokio::time::timeout(SEEN_TO_WITHIN, seen).await;
+            attempts += 1;
+            let changed = rows.own_row_changed.notified();
+            let _ = tokio::time::timeout(OWN_ROW_TIMEOUT, changed).await;
         }
     }
 }
 
-/// Has this host's row removed: it is being taken away.
+/// Has this host's row removed, because the host is leaving the fleet.
 pub async fn remove_own_row(shared: &Rc<MeshShared>) {
     let rows = &shared.members.rows;
-    rows.is_parting.set(true);
+    rows.is_leaving.set(true);
     let id = shared.settings.borrow().id.clone();
     rows.mark_own_registered();
-    let gone = async {
-        while rows.is_own_seen() {
-            rows.own_changed.notified().await;
+    let unregistered = async {
+        while rows.is_own_registered() {
+            rows.own_row_changed.notified().await;
         }
     };
     shared.request_row_change(RowChange::Remove(id.clone()), false);
-    // The process may end before the store's answer, which nobody needs; what
-    // a failure leaves is a row of a host that never answers.
-    match tokio::time::timeout(PARTING_TIME, gone).await {
+    // The process may end before the store answers, and nothing depends on the
+    // answer: a failed removal leaves the row of a host that never responds.
+    match tokio::time::timeout(ROW_REMOVAL_TIMEOUT, unregistered).await {
         Ok(()) => log::info!("event=own_row_gone host={id}"),
-        Err(_) => log::warn!("event=own_row_left host={id} error=\"no word in time\""),
+        Err(_) => log::warn!("event=own_row_left host={id} error=\"removal timed out\""),
     }
 }
 
-/// The daemon that a row of [`HOSTS_TABLE`] names; `None` when it names none.
+/// Decodes the address in a row of [`HOSTS_TABLE`]; `None` for rows of other
+/// kinds, removed rows and malformed ones.
 #[must_use]
 pub fn decode_member(row: &StoreRow) -> Option<PeerAddress> {
     if is_held_key(&row.key) || is_rollout_key(&row.key) {
         return None;
     }
     let value = row.value.as_ref()?;
-    match read_member(&row.key, value) {
+    match decode_and_validate(&row.key, value) {
         Ok(address) => Some(address),
         Err(reason) => {
             log::warn!(
@@ -313,15 +327,17 @@
     }
 }
 
-/// Guards against a row by another writer whose bytes happen to decode: a host
-/// without an address or with another's name would be dialed for ever.
-fn read_member(key: &str, value: &[u8]) -> Result<PeerAddress, String> {
+/// Decodes and validates the address of a host.
+///
+/// The bytes of a row that another program wrote may decode by chance. A host
+/// without an address, or with another host's name, would be dialed forever.
+fn decode_and_validate(key: &str, value: &[u8]) -> Result<PeerAddress, String> {
     let address: PeerAddress = row_value::decode(value)?;
     if address.id != key {
-        return Err(format!("names another host, {}", address.id));
+        return Err(format!("the row names another host, {}", address.id));
     }
     if address.zone.is_empty() || address.address.parse::<SocketAddr>().is_err() {
-        return Err("no address".to_owned());
+        return Err("the zone is empty or the address is invalid".to_owned());
     }
     Ok(address)
 }
--- a/crates/mesh/src/text_delta.rs
+++ b/crates/mesh/src/text_delta.rs
@@ -1,8 +1,9 @@
-//! Differences between two texts of the configuration.
+//! Binary deltas between two texts of the configuration.
 //!
-//! A version differs from the one before it in a route or two of thousands.
-//! Told in full, a version of 1,600 routes is some 400 KB to every daemon,
-//! half a second of a slow host's link; as a delta it is a few hundred bytes.
+//! Successive versions usually differ in one or two of thousands of routes. The
+//! whole text of a version with 1,600 routes is about 400 KB for every daemon,
+//! half a second of a slow host's link; as a delta it takes a few hundred
+//! bytes.
 
 use std::collections::HashMap;
 
@@ -10,126 +11,129 @@
 use serde::{Deserialize, Serialize};
 use twox_hash::XxHash64;
 
-/// Where the text of a version falls into pieces: behind each entry of a list.
-const PIECE_END: u8 = b'}';
-/// Seed of the checksum.
-const SUM_SEED: u64 = 0;
+/// Byte that ends a chunk of the text. Each entry of a JSON list ends with it.
+const CHUNK_END: u8 = b'}';
+/// Seed of the checksum of the resulting text.
+const CHECKSUM_SEED: u64 = 0;
 
-/// A step of a delta.
+/// One instruction of a delta.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-enum DeltaStep {
-    /// Bytes of the text before.
+enum DeltaOp {
+    /// Copies bytes from the base text.
     Copy {
-        /// The first.
+        /// Offset of the first byte.
         from: u32,
-        /// How many.
+        /// Number of bytes.
         length: u32,
     },
-    /// New bytes.
+    /// Appends these bytes.
     Insert(Vec<u8>),
 }
 
-/// How one text becomes another.
+/// The instructions that turn a base text into a new text.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TextDelta {
-    steps: Vec<DeltaStep>,
-    /// Checksum of the text that comes out.
-    sum: u64,
+    ops: Vec<DeltaOp>,
+    /// Checksum of the new text.
+    checksum: u64,
 }
 
-/// The text is not the one that the delta was made for.
+/// The delta was made for another base text than the one it was applied to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WrongBase;
 
 impl TextDelta {
-    /// The delta that makes `after` of `before`.
+    /// Computes the delta that turns `before` into `after`.
     #[must_use]
     pub fn between(before: &[u8], after: &[u8]) -> TextDelta {
-        let mut places = HashMap::new();
-        let mut at = 0;
-        for piece in pieces(before) {
-            places.entry(piece).or_insert(at);
-            at += piece.len();
+        let mut offsets = HashMap::new();
+        let mut offset = 0;
+        for chunk in chunks(before) {
+            offsets.entry(chunk).or_insert(offset);
+            offset += chunk.len();
         }
-        let mut steps: Vec<DeltaStep> = Vec::new();
-        for piece in pieces(after) {
-            let known = places.get(piece).and_then(|at| u32::try_from(*at).ok());
+        let mut ops: Vec<DeltaOp> = Vec::new();
+        for chunk in chunks(after) {
+            let known = offsets
+                .get(chunk)
+                .and_then(|offset| u32::try_from(*offset).ok());
             match known {
-                Some(from) => push_copy(&mut steps, from, piece.len()),
-                None => push_insert(&mut steps, piece),
+                Some(from) => push_copy(&mut ops, from, chunk.len()),
+                None => push_insert(&mut ops, chunk),
             }
         }
         TextDelta {
-            steps,
-            sum: checksum(after),
+            ops,
+            checksum: checksum(after),
         }
     }
 
-    /// Applies the delta.
+    /// Applies the delta to `before` and returns the new text.
     ///
     /// # Errors
-    /// [`WrongBase`] when the outcome is not the text that was meant. Guards
-    /// against a version put together from the wrong one.
+    /// [`WrongBase`] when the result does not have the expected checksum, so
+    /// that a delta applied to the wrong text cannot yield a version that
+    /// nobody published.
     pub fn apply(&self, before: &[u8]) -> Result<Bytes, WrongBase> {
         let mut after = BytesMut::with_capacity(before.len() + 1024);
-        for step in &self.steps {
-            match step {
-                DeltaStep::Copy { from, length } => {
+        for op in &self.ops {
+            match op {
+                DeltaOp::Copy { from, length } => {
                     let from = *from as usize;
-                    let piece = before.get(from..from + *length as usize);
-                    after.put_slice(piece.ok_or(WrongBase)?);
+                    let chunk = before.get(from..from + *length as usize);
+                    after.put_slice(chunk.ok_or(WrongBase)?);
                 }
-                DeltaStep::Insert(bytes) => after.put_slice(bytes),
+                DeltaOp::Insert(bytes) => after.put_slice(bytes),
             }
         }
-        if checksum(&after) == self.sum {
+        if checksum(&after) == self.checksum {
             Ok(after.freeze())
         } else {
             Err(WrongBase)
         }
     }
 
-    /// Bytes that the delta carries, about.
+    /// Approximate size of the encoded delta, in bytes.
     #[must_use]
-    pub fn weight(&self) -> usize {
-        /// Bytes of a copying step, about.
-        const COPY: usize = 9;
-        self.steps
+    pub fn approx_size(&self) -> usize {
+        /// Approximate size of an encoded copy instruction, in bytes.
+        const COPY_OP_BYTES: usize = 9;
+        self.ops
             .iter()
-            .map(|step| match step {
-                DeltaStep::Copy { .. } => COPY,
-                DeltaStep::Insert(bytes) => bytes.len(),
+            .map(|op| match op {
+                DeltaOp::Copy { .. } => COPY_OP_BYTES,
+                DeltaOp::Insert(bytes) => bytes.len(),
             })
             .sum()
     }
 }
 
-fn pieces(text: &[u8]) -> impl Iterator<Item = &[u8]> {
-    text.split_inclusive(|byte| *byte == PIECE_END)
+fn chunks(text: &[u8]) -> impl Iterator<Item = &[u8]> {
+    text.split_inclusive(|byte| *byte == CHUNK_END)
 }
 
-fn push_copy(steps: &mut Vec<DeltaStep>, at: u32, piece: usize) {
-    let added = u32::try_from(piece).unwrap_or(u32::MAX);
-    if let Some(DeltaStep::Copy { from, length }) = steps.last_mut() {
-        if *from + *length == at {
-            *length += added;
+fn push_copy(ops: &mut Vec<DeltaOp>, offset: u32, chunk_bytes: usize) {
+    let chunk_length = u32::try_from(chunk_bytes).unwrap_or(u32::MAX);
+    if let Some(DeltaOp::Copy { from, length }) = ops.last_mut() {
+        if *from + *length == offset {
+            *length += chunk_length;
             return;
         }
     }
-    steps.push(DeltaStep::Copy {
-        from: at,
-        length: added,
+    ops.push(DeltaOp::Copy {
+        from: offset,
+        length: chunk_length,
     });
 }
 
-fn push_insert(steps: &mut Vec<DeltaStep>, piece: &[u8]) {
-    if let Some(DeltaStep::Insert(bytes)) = steps.last_mut() {
-        bytes.extend_from_slice(piece);
+fn push_insert(ops: &mut Vec<DeltaOp>, chunk: &[u8]) {
+    if let Some(DeltaOp::Insert(bytes)) = ops.last_mut() {
+        bytes.extend_from_slice(chunk);
     } else {
-        steps.push(DeltaStep::Insert(piece.to_vec()));
+        ops.push(DeltaOp::Insert(chunk.to_vec()));
     }
 }
 
 fn checksum(text: &[u8]) -> u64 {
-    XxHash64::oneshot(SUM_SEED, text)
+    XxHash64::oneshot(CHECKSUM_SEED, text)
 }
--- a/crates/mesh/src/versions.rs
+++ b/crates/mesh/src/versions.rs
@@ -1,4 +1,5 @@
-//! The version in force, and the steps that led to it.
+//! The configuration version in force, and the deltas from recent versions to
+//! it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -15,126 +16,136 @@
 use crate::state::MeshShared;
 use crate::text_delta::TextDelta;
 
-/// Steps remembered: a storm of versions for some seconds, so that a daemon
-/// that missed a few still gets small steps.
-const MOST_STEPS: usize = 24;
-/// Bytes of steps remembered; beyond, a whole version costs as little.
-const MOST_BYTES: usize = 128 * 1024;
-
-/// Bytes of steps that are told. What is heavier every daemon gets from the
-/// store, which has room for it: 800 new routes are 200 KB, and telling them
-/// to half of a zone of 27 would take a link of 7.5 Mbit/s for three seconds,
-/// more than a version has.
-const MOST_TOLD: usize = 8 * 1024;
-/// Bytes of the store's answer around a configuration's text, at most.
-const AROUND_TEXT: usize = 1024;
-
-/// Tells the daemons that follow this one of a heavy version as soon as the
-/// store begins to give it. Runs for ever.
+/// Maximum number of deltas kept. Covers some seconds of a burst of versions,
+/// so that a daemon that missed a few of them still gets deltas.
+const MAX_KEPT_STEPS: usize = 24;
+/// Maximum total size of the deltas kept, in bytes. Beyond it, sending a whole
+/// version costs no more.
+const MAX_KEPT_STEP_BYTES: usize = 128 * 1024;
+
+/// Maximum total size of the deltas sent to a peer, in bytes. Every daemon
+/// reads larger changes from the store, which has the bandwidth for them: 800
+/// new routes are 200 KB, and sending them to half of a zone of 27 hosts would
+/// occupy a link of 7.5 Mbit/s for three seconds, more than the time in which a
+/// version has to be in force.
+const MAX_SENT_STEP_BYTES: usize = 8 * 1024;
+/// Maximum size of the store's response beyond the encoded text of the
+/// configuration, in bytes.
+const MAX_RESPONSE_OVERHEAD_BYTES: usize = 1024;
+
+/// Announces an oversized version to the followers of this daemon as soon as
+/// the store begins to send it. Never returns.
 ///
-/// Guards against a heavy version that is late: followers get it from the store
-/// too, and if they began only when their reader had it whole, two downloads of
-/// 0.9 s on a link of 7.5 Mbit/s would follow each other in the two seconds
-/// that a version has.
+/// Followers read an oversized version from the store as well. If they started
+/// only after their reader had received all of it, two downloads of 0.9 s each
+/// on a link of 7.5 Mbit/s would follow one another, within the two seconds in
+/// which a version has to be in force.
 pub async fn announce_large_versions(shared: Rc<MeshShared>) {
-    let mut begun = shared.store.response_lengths();
-    while begun.changed().await.is_ok() {
-        let length = usize::try_from(*begun.borrow_and_update()).unwrap_or(usize::MAX);
+    let mut lengths = shared.store.response_lengths();
+    while lengths.changed().await.is_ok() {
+        let length = usize::try_from(*lengths.borrow_and_update()).unwrap_or(usize::MAX);
         let text = shared.versions.text().len();
-        let usual = encoded_length(text) + AROUND_TEXT;
-        if text > 0 && length > usual + encoded_length(MOST_TOLD) && shared.members.is_reader() {
+        let expected = encoded_length(text) + MAX_RESPONSE_OVERHEAD_BYTES;
+        if text > 0
+            && length > expected + encoded_length(MAX_SENT_STEP_BYTES)
+            && shared.members.is_reader()
+        {
             shared.send_to_followers(&LinkMessage::HeavyVersion);
         }
     }
 }
 
-/// Bytes of a value in the store's answer: four for each three.
+/// Length of a value of `bytes` bytes in the store's response, where it is
+/// base64: four bytes for every three.
 fn encoded_length(bytes: usize) -> usize {
     bytes.div_ceil(3) * 4
 }
 
-/// Why no steps are told.
+/// Why a peer cannot be sent deltas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StepsUnavailable {
-    /// They are not remembered, or were never taken here.
+    /// The peer's version is none of those that deltas are kept for.
     Unknown,
-    /// They are too heavy for a link.
+    /// The deltas are too large for a link between daemons.
     TooLarge,
 }
 
-/// The version in force.
+/// The version in force and the recent deltas.
 #[derive(Default)]
 pub struct VersionState {
     index: RefCell<Rc<RouteIndex>>,
     text: RefCell<Bytes>,
-    /// The text deflated; empty until somebody asks for it.
+    /// The deflated text; empty until it is first requested.
     deflated: RefCell<Bytes>,
     steps: RefCell<VecDeque<VersionStep>>,
     decoder: RefCell<ConfigDecoder>,
-    /// Asks for the version from the store now.
+    /// Requests a query of the store for the configuration now.
     pub store_query_requested: Notify,
-    /// The one ask of a peer for a whole text.
+    /// Permits one request for a full text at a time, over all peers.
     pub full_text_slot: FullTextSlot,
-    /// Whether the store gave no answer when it was last asked for the
-    /// configuration.
-    pub store_is_away: Cell<bool>,
+    /// Whether the last query of the store for the configuration failed.
+    pub is_store_unreachable: Cell<bool>,
 }
 
 impl VersionState {
-    /// The version in force, compiled.
+    /// Routing index of the version in force.
     #[must_use]
     pub fn index(&self) -> Rc<RouteIndex> {
         Rc::clone(&self.index.borrow())
     }
 
-    /// Its number; 0 when there is none.
+    /// Number of the version in force; 0 when there is none.
     #[must_use]
     pub fn number(&self) -> u64 {
         self.index.borrow().number()
     }
 
-    /// Its text, as the operator wrote it.
+    /// Text of the version in force, as the operator wrote it.
     #[must_use]
     pub fn text(&self) -> Bytes {
         self.text.borrow().clone()
     }
 
-    /// Its text, deflated. Worked out once for all that ask: plain, 1,200 routes
-    /// are a quarter of a second of a link of 10 Mbit/s.
+    /// Deflated text of the version in force. It is compressed once and cached
+    /// for all peers that request it: uncompressed, 1,200 routes take a quarter
+    /// of a second on a link of 10 Mbit/s.
     pub fn deflated(&self) -> Bytes {
-        let mut kept = self.deflated.borrow_mut();
-        if kept.is_empty() {
-            *kept = deflate::pack(&self.text.borrow()).into();
+        let mut deflated = self.deflated.borrow_mut();
+        if deflated.is_empty() {
+            *deflated = deflate::pack(&self.text.borrow()).into();
         }
-        kept.clone()
+        deflated.clone()
     }
 
-    /// The steps from version `have` to the one in force.
+    /// The deltas that lead from version `have` to the one in force.
     ///
     /// # Errors
-    /// [`StepsUnavailable`] when there are none to tell.
+    /// [`StepsUnavailable`] when they are not kept or too large to be sent.
     pub fn steps_from(&self, have: u64) -> Result<Vec<VersionStep>, StepsUnavailable> {
         let steps = self.steps.borrow();
         let first = steps
             .iter()
             .position(|step| step.from == have)
             .ok_or(StepsUnavailable::Unknown)?;
-        let told: Vec<VersionStep> = steps.iter().skip(first).cloned().collect();
-        let weight: usize = told.iter().map(|step| step.delta.weight()).sum();
-        if weight <= MOST_TOLD {
-            Ok(told)
+        let steps_to_send: Vec<VersionStep> = steps.iter().skip(first).cloned().collect();
+        let approx_size: usize = steps_to_send
+            .iter()
+            .map(|step| step.delta.approx_size())
+            .sum();
+        if approx_size <= MAX_SENT_STEP_BYTES {
+            Ok(steps_to_send)
         } else {
             Err(StepsUnavailable::TooLarge)
         }
     }
 
-    fn remember(&self, step: VersionStep) {
+    fn push_step(&self, step: VersionStep) {
         let mut steps = self.steps.borrow_mut();
         steps.push_back(step);
-        let mut bytes: usize = steps.iter().map(|step| step.delta.weight()).sum();
-        while steps.len() > MOST_STEPS || bytes > MOST_BYTES {
+        let mut bytes: usize = steps.iter().map(|step| step.delta.approx_size()).sum();
+        while steps.len() > MAX_KEPT_STEPS || bytes > MAX_KEPT_STEP_BYTES {
             match steps.pop_front() {
-                Some(oldest) => bytes -= oldest.delta.weight(),
+                Some(oldest) => bytes -= oldest.delta.approx_size(),
                 None => break,
             }
         }
@@ -142,11 +153,13 @@
 }
 
 impl MeshShared {
-    /// Puts a version in force if it is newer, and tells the peers.
+    /// Puts the version with this text in force if it is newer than the current
+    /// one, and announces it to the peers.
     ///
-    /// Guards against going back: versions come from the store and from every
-    /// peer, in any order, and only a higher number is taken. A version that
-    /// cannot be decoded whole is not used at all.
+    /// Versions arrive from the store and from every peer, in any order; only a
+    /// higher number is accepted, so the configuration never goes back to an
+    /// older version. A text that does not decode completely is rejected as a
+    /// whole.
     pub fn apply_version(&self, text: &Bytes, from: &str) {
         let version = match self.versions.decoder.borrow_mut().decode(text) {
             Ok(version) => version,
@@ -155,31 +168,32 @@
                 return;
             }
         };
-        let book = &self.versions;
-        let before = book.number();
+        let versions = &self.versions;
+        let before = versions.number();
         if version.number <= before {
             return;
         }
         let number = version.number;
         let routes = version.routes.len();
         if before > 0 {
-            book.remember(VersionStep {
+            versions.push_step(VersionStep {
                 from: before,
                 to: number,
-                delta: TextDelta::between(&book.text(), text),
+                delta: TextDelta::between(&versions.text(), text),
             });
         }
         let index = Rc::new(RouteIndex::compile(version));
-        *book.index.borrow_mut() = Rc::clone(&index);
-        *book.text.borrow_mut() = text.clone();
-        book.deflated.take();
+        *versions.index.borrow_mut() = Rc::clone(&index);
+        *versions.text.borrow_mut() = text.clone();
+        versions.deflated.take();
         log::info!("event=version_in_force version={number:08x} before={before:08x} routes={routes} from={from}");
         self.organisations.version_in_force(&index);
         self.peers
             .broadcast(&encode(&LinkMessage::InForce { version: number }));
     }
 
-    /// Puts a version whose text came deflated in force, if it is newer.
+    /// Decompresses the text of a version and puts the version in force if it
+    /// is newer than the current one.
     pub fn apply_deflated_version(&self, deflated: &[u8], from: &str) {
         match deflate::unpack(deflated) {
             Ok(text) => self.apply_version(&text.into(), from),
@@ -187,12 +201,12 @@
         }
     }
 
-    /// Follows `steps` from the version in force; false when they do not lead
-    /// on from it.
+    /// Applies the deltas in `steps` to the version in force. Returns `false`
+    /// when they do not start at it or one of them does not apply.
     pub fn apply_steps(&self, steps: &[VersionStep], from: &str) -> bool {
-        let book = &self.versions;
-        let mut text = book.text();
-        let mut number = book.number();
+        let versions = &self.versions;
+        let mut text = versions.text();
+        let mut number = versions.number();
         let first = number;
         for step in steps.iter().skip_while(|step| step.from < first) {
             if step.from != number {
@@ -206,9 +220,9 @@
             text = next;
             number = step.to;
         }
-        if number > book.number() {
+        if number > versions.number() {
             self.apply_version(&text, from);
         }
-        book.number() >= number
+        versions.number() >= number
     }
 }
--- a/crates/mesh/tests/text_delta_cases.rs
+++ b/crates/mesh/tests/text_delta_cases.rs
@@ -1,4 +1,4 @@
-//! Differences between texts of the configuration.
+//! Deltas between two texts of the configuration.
 
 use filbert_mesh::text_delta::{TextDelta, WrongBase};
 use proptest::prelude::*;
@@ -16,22 +16,22 @@
     text
 }
 
-/// One route of 1,600 changes. Told in full that is over 100 KB to every
-/// daemon; the delta must be a few hundred bytes.
+/// One of 1,600 routes changes. The full text is over 100 KB for every daemon;
+/// the delta must take a few hundred bytes.
 #[test]
-fn a_changed_route_costs_a_few_hundred_bytes() {
+fn a_changed_route_takes_a_few_hundred_bytes() {
     let before = config(7, 1_600, 0);
     let after = config(8, 1_600, 900);
     let delta = TextDelta::between(&before, &after);
     assert_eq!(delta.apply(&before).as_deref(), Ok(&*after));
     assert!(before.len() > 100_000);
-    assert!(delta.weight() < 500, "{}", delta.weight());
+    assert!(delta.approx_size() < 500, "{}", delta.approx_size());
 }
 
-/// A daemon has another text than the one that the delta was made for. What
-/// would come out is no version anybody wrote.
+/// A daemon has another text than the one that the delta was made for. Applying
+/// the delta would yield a version that nobody published.
 #[test]
-fn a_delta_for_another_text_is_refused() {
+fn a_delta_for_another_text_is_rejected() {
     let delta = TextDelta::between(&config(7, 20, 0), &config(8, 20, 3));
     assert_eq!(delta.apply(&config(7, 20, 1)), Err(WrongBase));
     assert_eq!(delta.apply(b""), Err(WrongBase));
@@ -39,7 +39,7 @@
 
 proptest! {
     #[test]
-    fn what_comes_out_is_what_was_meant(before in "[a-c}{]{0,60}", after in "[a-c}{]{0,60}") {
+    fn a_delta_reproduces_the_new_text(before in "[a-c}{]{0,60}", after in "[a-c}{]{0,60}") {
         let delta = TextDelta::between(before.as_bytes(), after.as_bytes());
         let out = delta.apply(before.as_bytes());
         prop_assert_eq!(out.as_deref(), Ok(after.as_bytes()));
