--- a/tests/mesh_members.rs
+++ b/tests/mesh_members.rs
@@ -1,4 +1,5 @@
-//! Who follows the store for a zone, and what happens when they fail.
+//! Election of the daemons that read the store, relaying to the others, and the
+//! failure of readers and sources.
 
 #[path = "support/users.rs"]
 mod users;
@@ -14,12 +15,12 @@
 };
 
 const HOSTS_TABLE: &str = "filbert-hosts";
-/// Hosts of the one zone: two follow the store, two are told by them.
+/// Hosts of a single zone: two daemons read the store, two follow them.
 const NAMES: [&str; 4] = ["one", "two", "three", "four"];
 
 async fn zone() -> Fleet {
     let hosts: Vec<(&str, &str, &str)> = NAMES.iter().map(|name| (*name, "a", "quotes")).collect();
-    let fleet = fleet(&versions(1), &hosts).await;
+    let fleet = fleet(&routes_of(1), &hosts).await;
     assert!(
         eventually(SETTLE_WITHIN, || async { followers(&fleet).len() == 2 }).await,
         "{:?}",
@@ -28,7 +29,8 @@
     fleet
 }
 
-/// Hosts that are told by others, by what they last logged of it.
+/// Indexes of the hosts whose daemon follows upstreams, by its last log line on
+/// its role.
 fn followers(fleet: &Fleet) -> Vec<usize> {
     (0..fleet.hosts.len())
         .filter(|host| {
@@ -46,8 +48,8 @@
         .collect()
 }
 
-/// Routes of version `number`: one of its own.
-fn versions(number: u64) -> Vec<RouteSpec> {
+/// Routes of version `number`, one of which only this version has.
+fn routes_of(number: u64) -> Vec<RouteSpec> {
     vec![
         RouteSpec::reads("/old/", "quotes"),
         RouteSpec::reads(&format!("/v{number}/"), "quotes"),
@@ -80,15 +82,15 @@
     fleet.store.calls("/rows-feed") + fleet.store.calls("/rows-get")
 }
 
-/// A storm of versions comes. Were every daemon to ask the store for each, its
-/// calls would grow with the fleet; two daemons of the zone ask, the others
-/// are told and have each version within a second all the same.
+/// A burst of versions is published. If every daemon read each of them from the
+/// store, the calls would grow with the fleet. Two daemons of the zone must
+/// read them, and the others have each version within a second all the same.
 #[tokio::test]
-async fn versions_reach_all_while_two_ask_the_store() {
+async fn versions_reach_all_while_two_daemons_read_the_store() {
     let fleet = zone().await;
     let before = feed_calls(&fleet);
     for version in 2..=6 {
-        publish(&fleet.store, version, &versions(version));
+        publish(&fleet.store, version, &routes_of(version));
         for host in &fleet.hosts {
             assert!(
                 serves(host, version, Duration::from_secs(1)).await,
@@ -97,9 +99,9 @@
             );
         }
     }
-    let asked = feed_calls(&fleet) - before;
-    // Each reader asks once for each version, and every two seconds.
-    assert!(asked <= 2 * (5 + 6), "{asked} calls");
+    let calls = feed_calls(&fleet) - before;
+    // Each reader makes one call for each version, and one every two seconds.
+    assert!(calls <= 2 * (5 + 6), "{calls} calls");
     for host in followers(&fleet) {
         let log = fleet.hosts[host].log();
         let line = log
@@ -110,29 +112,29 @@
     }
 }
 
-/// Both daemons that follow the store die. The next version must be in force
-/// on the others within the two seconds that a version has.
+/// Both readers die. The next version must be in force on the others within the
+/// two seconds that a version has.
 #[tokio::test]
-async fn followers_ask_for_themselves_when_both_readers_die() {
+async fn followers_read_the_store_when_both_readers_die() {
     let mut fleet = zone().await;
     let followers = followers(&fleet);
     for reader in readers(&fleet) {
         fleet.hosts[reader].kill();
     }
-    publish(&fleet.store, 2, &versions(2));
+    publish(&fleet.store, 2, &routes_of(2));
     assert_serve(&fleet, &followers).await;
 }
 
-/// Both daemons that follow the store stand still: their links stay open and
-/// say nothing. A version must still come to the others within two seconds.
+/// Both readers are stopped: their links stay open and are silent. A version
+/// must still be in force on the others within two seconds.
 #[tokio::test]
-async fn followers_ask_for_themselves_when_both_readers_stand_still() {
+async fn followers_read_the_store_when_both_readers_are_stopped() {
     let fleet = zone().await;
     let (followers, readers) = (followers(&fleet), readers(&fleet));
     for reader in &readers {
         fleet.hosts[*reader].signal(Signal::SIGSTOP);
     }
-    publish(&fleet.store, 2, &versions(2));
+    publish(&fleet.store, 2, &routes_of(2));
     assert_serve(&fleet, &followers).await;
     for reader in &readers {
         fleet.hosts[*reader].signal(Signal::SIGCONT);
@@ -140,10 +142,11 @@
     assert_serve(&fleet, &readers).await;
 }
 
-/// Rows vanish without a trace while the store is away, also those of daemons
-/// that do not ask it. All must be back two seconds after its return.
+/// Rows lapse without a trace in the history while the store is unreachable,
+/// including those of daemons that do not read it. All must be written again
+/// two seconds after its return.
 #[tokio::test]
-async fn followers_write_their_lapsed_rows_back() {
+async fn followers_rewrite_their_lapsed_rows() {
     let fleet = zone().await;
     fleet.store.set_fault(StoreFault::Resets);
     tokio::time::sleep(Duration::from_secs(3)).await;
@@ -158,11 +161,11 @@
     assert!(back, "{:?}", fleet.store.keys(HOSTS_TABLE));
 }
 
-/// A host is taken away: its target leaves, then its daemon is stopped. Its
-/// row must go with it, or every daemon would dial a dead host for ever. One
-/// whose daemon alone is restarted keeps its row.
+/// A host leaves the fleet: its target leaves, then its daemon is stopped. Its
+/// row must be removed, or every daemon would dial a dead host forever. A host
+/// whose daemon alone is restarted must keep its row.
 #[tokio::test]
-async fn a_host_that_is_taken_away_removes_its_row() {
+async fn a_host_that_leaves_removes_its_row() {
     let mut fleet = zone().await;
     let control = fleet.hosts[0].control;
     fleet.hosts[0].target.leave(control).await;
@@ -176,10 +179,10 @@
     assert!(fleet.store.keys(HOSTS_TABLE).contains(&"two".to_owned()));
 }
 
-/// A host comes to a running fleet. Daemons that do not ask the store must
-/// hear of it and link to it, so that it gets work within seconds.
+/// A host joins a running fleet. Daemons that do not read the store must learn
+/// of it and link to it, so that it gets calls within seconds.
 #[tokio::test]
-async fn followers_link_to_a_newcomer() {
+async fn followers_link_to_a_new_host() {
     let mut fleet = zone().await;
     let spec = host_spec(&fleet.store, "late", "a", "quotes");
     fleet.hosts.push(Host::start(spec).await);
@@ -189,15 +192,16 @@
     }
 }
 
-/// Versions come faster than a reader takes them, so that each reader skips
-/// others. Followers must have the last within two seconds, and not each read
-/// whole versions from the store for the steps that one reader lacks.
+/// Versions are published faster than a reader reads them, so that each reader
+/// skips different ones. Followers must have the last one within two seconds,
+/// and must not each read whole versions from the store because one reader
+/// lacks some deltas.
 #[tokio::test]
-async fn a_storm_that_readers_skip_through_stays_off_the_store() {
+async fn followers_read_no_full_versions_in_a_burst() {
     let fleet = zone().await;
     let before = feed_calls(&fleet);
     for version in 2..=9 {
-        publish(&fleet.store, version, &versions(version));
+        publish(&fleet.store, version, &routes_of(version));
         tokio::time::sleep(Duration::from_millis(170)).await;
     }
     for host in &fleet.hosts {
@@ -207,18 +211,20 @@
             host.log()
         );
     }
-    let asked = feed_calls(&fleet) - before;
-    // The readers ask each half second, and once more for the last.
-    assert!(asked <= 2 * (3 + 4), "{asked} calls");
+    let calls = feed_calls(&fleet) - before;
+    // Each reader makes a call every half second, and one more for the last
+    // version.
+    assert!(calls <= 2 * (3 + 4), "{calls} calls");
 }
 
-/// A version brings hundreds of new routes: too much to be told over slow
-/// links. Followers must be warned as it begins to come, so that they read it
-/// from the store beside their readers and have it in time.
+/// A version adds hundreds of routes, too large a change to be sent over slow
+/// links. Followers must be notified as soon as the store begins to send it, so
+/// that they read it from the store at the same time as their readers and have
+/// it in time.
 #[tokio::test]
-async fn a_heavy_version_is_read_from_the_store_by_all() {
+async fn a_large_version_is_read_from_the_store_by_all() {
     let fleet = zone().await;
-    let mut routes = versions(2);
+    let mut routes = routes_of(2);
     routes.extend((0..300).map(|number| RouteSpec::reads(&format!("/idle{number}/"), "quotes")));
     publish(&fleet.store, 2, &routes);
     for host in &fleet.hosts {
@@ -237,49 +243,50 @@
     }
 }
 
-/// The store falls silent for all of a zone that ask it, who notice after two
-/// seconds and a half, while versions come each 150 ms. Those that they tell
-/// hear of each version from another zone. They must not put off asking for one
-/// because the next is announced: the first must be in force two seconds later.
+/// The store stops responding to all daemons of a zone that read it, who detect
+/// this after 2.5 seconds, while a version is published every 150 ms. Their
+/// followers learn of each version from another zone. A new announcement must
+/// not postpone the request for a version: the first version must be in force
+/// two seconds later.
 #[tokio::test]
-async fn a_storm_does_not_put_off_asking_other_zones() {
+async fn a_burst_does_not_postpone_requests_to_other_zones() {
     let store = StandinStore::start().await;
-    publish(&store, 1, &versions(1));
+    publish(&store, 1, &routes_of(1));
     let mut hosts = Vec::new();
-    let mut ways = Vec::new();
+    let mut pipes = Vec::new();
     for (name, zone) in [("one", "a"), ("two", "a"), ("three", "a"), ("far", "b")] {
-        let way = FaultPipe::start(store.address).await;
+        let pipe = FaultPipe::start(store.address).await;
         let mut spec = host_spec(&store, name, zone, "quotes");
-        spec.store = way.address;
+        spec.store = pipe.address;
         hosts.push(Host::start(spec).await);
-        ways.push(way);
+        pipes.push(pipe);
     }
     let fleet = Fleet { store, hosts };
     fleet.settle().await;
-    // Of each zone one or two daemons tell the others; two of all ask.
+    // Each zone has one or two readers; two daemons of the fleet are sources.
     assert!(eventually(SETTLE_WITHIN, || async { followers(&fleet).len() == 2 }).await);
     for reader in readers(&fleet) {
         if fleet.hosts[reader].spec.zone == "a" {
-            ways[reader].set_mode(PipeMode::Swallow);
+            pipes[reader].set_mode(PipeMode::Swallow);
         }
     }
-    let told = followers(&fleet);
-    let told: Vec<&Host> = told
+    let followers = followers(&fleet);
+    let followers: Vec<&Host> = followers
         .iter()
         .map(|host| &fleet.hosts[*host])
         .filter(|host| host.spec.zone == "a")
         .collect();
-    assert!(!told.is_empty());
+    assert!(!followers.is_empty());
     let began = Instant::now();
     let mut version = 1;
     while began.elapsed() < Duration::from_secs(2) {
         version += 1;
-        let mut routes = versions(version);
+        let mut routes = routes_of(version);
         routes.push(RouteSpec::reads("/v2/", "quotes"));
         publish(&fleet.store, version, &routes);
         tokio::time::sleep(Duration::from_millis(150)).await;
     }
-    for host in told {
+    for host in followers {
         assert!(
             serves(host, 2, Duration::from_millis(100)).await,
             "{}",
@@ -288,19 +295,19 @@
     }
 }
 
-/// The store is away, and a daemon with a heavy configuration is restarted:
-/// every peer tells it that it has a version. Were it to ask all of them for
-/// the whole text, its link would be full of copies for seconds, and the next
-/// version late behind them. One must be asked, or one after the other.
+/// A daemon with a large configuration is restarted while the store is
+/// unreachable, and every peer announces its version to it. If it requested the
+/// full text from all of them, the copies would fill its link for seconds and
+/// delay the next version. It must ask one peer at a time.
 #[tokio::test]
-async fn a_restarted_daemon_asks_one_peer_for_the_whole_text() {
+async fn a_restarted_daemon_asks_one_peer_for_the_full_text() {
     const PEERS: usize = 6;
     let names: Vec<String> = (0..=PEERS).map(|number| format!("h{number}")).collect();
     let hosts: Vec<(&str, &str, &str)> = names
         .iter()
         .map(|name| (name.as_str(), "a", "quotes"))
         .collect();
-    let mut routes = versions(1);
+    let mut routes = routes_of(1);
     routes.extend((0..1_500).map(|number| RouteSpec::reads(&format!("/idle{number}/"), "quotes")));
     let mut fleet = fleet(&routes, &hosts).await;
     fleet.store.set_fault(StoreFault::Resets);
@@ -314,21 +321,22 @@
             || async { host.log()[before..].contains(&format!("event=link_up peer={peer}")) };
         assert!(eventually(SETTLE_WITHIN, linked).await, "{}", host.log());
     }
-    // Those that were not asked could be by now, for what is no longer wanted.
+    // Time in which the other peers could be asked for a text that is no longer
+    // needed.
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let log = &host.log()[before..];
-    let asked: Vec<&str> = log
+    let requests: Vec<&str> = log
         .lines()
         .filter(|line| line.contains("event=version_asked") && line.contains("whole=true"))
         .collect();
-    assert_eq!(asked.len(), 1, "{asked:#?}\n{log}");
+    assert_eq!(requests.len(), 1, "{requests:#?}\n{log}");
 }
 
-/// A mesh has more services than a daemon keeps links for. It must not be
-/// linked to those that nobody calls, and the first call to one must be
-/// answered all the same, also when another has to make room.
+/// A fleet has more services than a daemon keeps links for. The daemon must not
+/// link to services that nobody calls, and must still answer the first call to
+/// one, even when another service has to be unlinked for it.
 #[tokio::test]
-async fn a_service_is_linked_to_when_it_is_called() {
+async fn an_unlinked_service_is_linked_when_called() {
     let routes = [
         RouteSpec::reads("/quotes/", "quotes"),
         RouteSpec::reads("/signs/", "signs"),
@@ -354,65 +362,70 @@
     ] {
         let answer = caller.call(line, "first", b"").await.expect("an answer");
         assert_eq!(answer.status, 200, "{line}\n{}", caller.log());
-        // Links are planned anew some 20 ms behind a call.
+        // Links are planned again about 20 ms after a call.
         tokio::time::sleep(Duration::from_millis(200)).await;
     }
     let released = "event=link_down peer=quoter reason=\"host moved or removed\"";
-    let made_room = || async { caller.log().matches(released).count() >= 2 };
+    let is_unlinked = || async { caller.log().matches(released).count() >= 2 };
     assert!(
-        eventually(SETTLE_WITHIN, made_room).await,
+        eventually(SETTLE_WITHIN, is_unlinked).await,
         "{}",
         caller.log()
     );
 }
 
-/// Followers are told some versions by their readers, then one comes that is
-/// too heavy for links and that they ask the store for. They must get that one
-/// and not the texts of all that they were told meanwhile: on a slow link the
-/// heavy version would be late behind them.
+/// Followers get some versions from their readers, then one that is too large
+/// for links and that they read from the store. They must read only that one,
+/// not the history with the texts of all versions since: on a slow link the
+/// large version would be late behind them.
 #[tokio::test]
-async fn a_follower_reads_no_old_versions_for_a_heavy_one() {
-    const TOLD: u64 = 8;
-    let idle =
+async fn a_follower_reads_no_history_before_a_large_version() {
+    const RELAYED_VERSIONS: u64 = 8;
+    let idle_routes =
         |count| (0..count).map(|number| RouteSpec::reads(&format!("/idle{number}/"), "quotes"));
-    let with_idle = |version, count| -> Vec<RouteSpec> {
-        versions(version).into_iter().chain(idle(count)).collect()
+    let routes_with_idle = |version, count| -> Vec<RouteSpec> {
+        routes_of(version)
+            .into_iter()
+            .chain(idle_routes(count))
+            .collect()
     };
     let fleet = zone().await;
-    publish(&fleet.store, 2, &with_idle(2, 600));
+    publish(&fleet.store, 2, &routes_with_idle(2, 600));
     assert_serve(&fleet, &[0, 1, 2, 3]).await;
-    for version in 3..3 + TOLD {
-        publish(&fleet.store, version, &with_idle(version, 600));
+    for version in 3..3 + RELAYED_VERSIONS {
+        publish(&fleet.store, version, &routes_with_idle(version, 600));
         for host in &fleet.hosts {
             assert!(serves(host, version, SETTLE_WITHIN).await, "{}", host.log());
         }
     }
     let before = fleet.store.bytes_given();
-    let last = 3 + TOLD;
-    let routes = with_idle(last, 1_000);
+    let last = 3 + RELAYED_VERSIONS;
+    let routes = routes_with_idle(last, 1_000);
     publish(&fleet.store, last, &routes);
     for host in &fleet.hosts {
         assert!(serves(host, last, SETTLE_WITHIN).await, "{}", host.log());
     }
     let given = fleet.store.bytes_given() - before;
     let text = config_text(last, &routes).len() as u64;
-    // Four thirds of the text for each of four daemons, and a little around it.
+    // Base64 takes four thirds of the text for each of the four daemons; the
+    // rest is overhead.
     assert!(
         given < 4 * text * 3 / 2,
         "{given} bytes for a text of {text}"
     );
 }
 
-/// A fleet of three zones. Were each zone to ask the store by itself, its calls
-/// would grow with the zones; two daemons ask for all, and a version is in force
-/// everywhere within a second all the same, in zones that nobody asks for too.
+/// In a fleet of three zones, calls to the store would grow with the zones if
+/// each zone read it by itself. Two sources must read it for all zones, and a
+/// version must be in force everywhere within a second, in zones without a
+/// source too.
 #[tokio::test]
-async fn two_daemons_ask_the_store_for_all_zones() {
+async fn two_sources_read_the_store_for_all_zones() {
     let fleet = zones().await;
     assert!(eventually(SETTLE_WITHIN, || async { followers(&fleet).len() == 7 }).await);
     let before = feed_calls(&fleet);
     for version in 2..=6 {
-        publish(&fleet.store, version, &versions(version));
+        publish(&fleet.store, version, &routes_of(version));
         for host in &fleet.hosts {
             assert!(
                 serves(host, version, Duration::from_secs(1)).await,
@@ -421,27 +434,27 @@
             );
         }
     }
-    let asked = feed_calls(&fleet) - before;
-    // Each of the two asks once for each version, and every two seconds.
-    assert!(asked <= 2 * (5 + 6), "{asked} calls");
+    let calls = feed_calls(&fleet) - before;
+    // Each source makes one call for each version, and one every two seconds.
+    assert!(calls <= 2 * (5 + 6), "{calls} calls");
 }
 
-/// Both daemons that ask the store for a fleet die, or stand still with their
-/// links open. The next version must be in force in every zone within the two
-/// seconds that a version has.
+/// Both sources of a fleet die, or are stopped with their links open. The next
+/// version must be in force in every zone within the two seconds that a version
+/// has.
 #[rstest]
 #[case::die(Signal::SIGKILL)]
 #[case::stand_still(Signal::SIGSTOP)]
 #[tokio::test]
-async fn others_step_in_for_the_daemons_that_ask(#[case] fate: Signal) {
+async fn other_daemons_replace_failed_sources(#[case] signal: Signal) {
     let fleet = zones().await;
     assert!(eventually(SETTLE_WITHIN, || async { followers(&fleet).len() == 7 }).await);
-    let told = followers(&fleet);
+    let followers = followers(&fleet);
     for source in readers(&fleet) {
-        fleet.hosts[source].signal(fate);
+        fleet.hosts[source].signal(signal);
     }
-    publish(&fleet.store, 2, &versions(2));
-    assert_serve(&fleet, &told).await;
+    publish(&fleet.store, 2, &routes_of(2));
+    assert_serve(&fleet, &followers).await;
 }
 
 /// Three hosts in each of three zones.
@@ -454,14 +467,15 @@
         .iter()
         .map(|(name, zone)| (name.as_str(), *zone, "quotes"))
         .collect();
-    fleet(&versions(1), &hosts).await
+    fleet(&routes_of(1), &hosts).await
 }
 
-/// A whole fleet starts for the first time, on an empty table. Were each host
-/// to write its row by itself, a fleet of hundreds would make as many writes
-/// within a second, and the table turns away what is beyond 150. Rows are
-/// written for others, many in one call; each host reads once, and the first
-/// version, which comes when all are there, goes from host to host.
+/// A whole fleet starts for the first time, on an empty table. If each host
+/// wrote its own row, a fleet of hundreds would make as many writes within a
+/// second, and the table rejects those beyond 150. Rows must be written for
+/// others, many in one call; each host may read the tables once, and the first
+/// version, published when all hosts are registered, must be passed on from
+/// host to host.
 #[tokio::test]
 async fn a_first_start_costs_a_call_a_host() {
     const HOSTS: u64 = 24;
@@ -477,7 +491,7 @@
     }
     let listed = || async { fleet.store.keys(HOSTS_TABLE).len() as u64 == HOSTS };
     assert!(eventually(SETTLE_WITHIN, listed).await);
-    publish(&fleet.store, 1, &versions(1));
+    publish(&fleet.store, 1, &routes_of(1));
     for host in &fleet.hosts {
         assert!(serves(host, 1, SETTLE_WITHIN).await, "{}", host.log());
     }
@@ -495,10 +509,10 @@
     assert!(reads <= 2 * HOSTS, "{reads} reads for {HOSTS} hosts");
 }
 
-/// One host's daemon is restarted in a fleet that runs. The store gives it the
-/// hosts and nothing else: the version comes from a neighbour that has it.
+/// One daemon is restarted in a running fleet. It must read only the members
+/// from the store, and get its version from a peer.
 #[tokio::test]
-async fn a_restarted_daemon_gets_its_version_from_a_neighbour() {
+async fn a_restarted_daemon_gets_its_version_from_a_peer() {
     let mut fleet = zone().await;
     let follower = followers(&fleet)[0];
     fleet.hosts[follower].kill();
@@ -518,11 +532,11 @@
     assert_eq!(fleet.store.calls("/rows-get") - reads, 1, "{log}");
 }
 
-/// The store is away for long while a fleet of followers runs and some of its
-/// daemons are restarted. Each must not call the store in vain by itself, twice
-/// a second: the calls would grow with the hosts.
+/// The store is unreachable for long while a fleet of followers runs and some
+/// of its daemons are restarted. The daemons must not each make failing calls
+/// twice a second: the calls would grow with the hosts.
 #[tokio::test]
-async fn an_outage_costs_few_calls() {
+async fn an_outage_causes_few_calls() {
     const OUTAGE: Duration = Duration::from_secs(6);
     let mut fleet = zones().await;
     assert!(eventually(SETTLE_WITHIN, || async { followers(&fleet).len() == 7 }).await);
@@ -533,23 +547,22 @@
         fleet.hosts[host].start_daemon();
     }
     tokio::time::sleep(OUTAGE).await;
-    let asked = feed_calls(&fleet) - before;
-    // Six daemons that ask for others, a call each 0.3 s and more, and a few of
-    // those that were restarted.
-    assert!(asked <= 6 * 20, "{asked} calls");
+    let calls = feed_calls(&fleet) - before;
+    // Six daemons that read the store for others make a call every 0.3 s or
+    // less often, and the restarted ones a few.
+    assert!(calls <= 6 * 20, "{calls} calls");
     fleet.store.set_fault(StoreFault::None);
-    publish(&fleet.store, 2, &versions(2));
+    publish(&fleet.store, 2, &routes_of(2));
     let all: Vec<usize> = (0..fleet.hosts.len()).collect();
     assert_serve(&fleet, &all).await;
 }
 
-/// The store comes and goes. Each time the daemons that ask it find it back, all
-/// that they tell know the same hosts as before: were they told the whole list,
-/// in a fleet of hundreds it would fill the link of the one that tells, and
-/// calls over that link would be late behind it, some behind their callers'
-/// leaving.
+/// The store is lost and regained repeatedly. Each time, the followers still
+/// know the same hosts. They must not be sent the whole list: in a fleet of
+/// hundreds it would fill the sender's link, and delay calls over that link,
+/// some until their callers have left.
 #[tokio::test]
-async fn a_store_that_returns_costs_no_lists_of_hosts() {
+async fn a_store_that_returns_causes_no_member_lists() {
     let fleet = zone().await;
     let lists = || -> usize {
         let from_peers = |host: &Host| {
@@ -561,7 +574,7 @@
         };
         fleet.hosts.iter().map(from_peers).sum()
     };
-    // What is asked for behind a checksum is asked for within half a second.
+    // A list requested because of a checksum is requested within half a second.
     tokio::time::sleep(Duration::from_secs(1)).await;
     let before = lists();
     for _ in 0..3 {
@@ -575,11 +588,11 @@
     assert_eq!(lists(), before);
 }
 
-/// All daemons of a fleet are killed and come back, but for some whose rows are
-/// still there: the two that would ask the store are among these. Nobody may
-/// wait for them: calls must be served again within a second and a half.
+/// All daemons of a fleet are killed and restarted, except some whose rows are
+/// still in the table, among them both sources. The others must not wait for
+/// them: calls must succeed again within a second and a half.
 #[tokio::test]
-async fn a_fleet_is_back_soon_though_those_that_asked_are_gone() {
+async fn a_restarted_fleet_does_not_wait_for_missing_sources() {
     let mut fleet = zones().await;
     assert!(eventually(SETTLE_WITHIN, || async { followers(&fleet).len() == 7 }).await);
     let gone = readers(&fleet);
@@ -602,12 +615,12 @@
     assert!(took < Duration::from_millis(1_500), "{took:?}");
 }
 
-/// A host is lost for good, and its address goes to another host while its row
-/// is still in the table. Whoever links to the lost one reaches the other: it
-/// must say so, and the row must go. Taken for alive, the lost host could be one
-/// that a whole zone waits to be told by.
+/// A host is lost for good, and another host gets its address while its row is
+/// still in the table. A daemon that dials the lost host reaches the other one,
+/// which must say so, and the row must be removed. If the lost host counted as
+/// alive, it could be elected as a reader for which a whole zone waits.
 #[tokio::test]
-async fn a_lost_host_does_not_live_on_in_the_one_with_its_address() {
+async fn a_lost_host_is_removed_when_another_has_its_address() {
     let fleet = zone().await;
     let log = fleet.hosts[0].log();
     let (_, peers) = log.split_once(" peers=").expect("the address of the links");
@@ -620,15 +633,16 @@
             .store
             .put(HOSTS_TABLE, &name, &row.expect("an address encodes"));
     }
-    // Whoever links there first; others may hear that it is gone before.
-    let is_told = eventually(SETTLE_WITHIN, || async {
-        let told = |host: &Host| {
+    // Only the first daemon that links there logs it; the others may hear of
+    // the removal before.
+    let is_reported = eventually(SETTLE_WITHIN, || async {
+        let has_logged = |host: &Host| {
             host.log()
                 .contains("event=host_replaced host=lost-0 by=one")
         };
-        fleet.hosts.iter().any(told)
+        fleet.hosts.iter().any(has_logged)
     });
-    assert!(is_told.await);
+    assert!(is_reported.await);
     let removed = eventually(Duration::from_secs(5), || async {
         fleet.store.keys(HOSTS_TABLE).len() == NAMES.len()
     });
--- a/tests/mesh_store.rs
+++ b/tests/mesh_store.rs
@@ -1,5 +1,5 @@
-//! Configuration and membership between stand-ins of the users' platform,
-//! with a store that misbehaves.
+//! Configuration and membership with a store that fails: it refuses calls,
+//! stops responding, loses answers, or drops its history.
 
 #[path = "support/users.rs"]
 mod users;
@@ -11,7 +11,7 @@
 use rstest::rstest;
 use users::{eventually, eventually_logs, fleet, publish, Fleet, SETTLE_WITHIN};
 
-/// The table in which daemons say where they are.
+/// The table in which hosts are registered.
 const HOSTS: &str = "filbert-hosts";
 
 async fn pair() -> Fleet {
@@ -23,7 +23,7 @@
     .await
 }
 
-fn newer() -> Vec<RouteSpec> {
+fn newer_routes() -> Vec<RouteSpec> {
     vec![
         RouteSpec::reads("/old/", "quotes"),
         RouteSpec::reads("/new/", "quotes"),
@@ -56,7 +56,7 @@
     let fleet = pair().await;
     assert_eq!(status_of(&fleet, 0, "/new/a").await, 404);
     let started = Instant::now();
-    publish(&fleet.store, 2, &newer());
+    publish(&fleet.store, 2, &newer_routes());
     assert!(serves_new_route(&fleet, Duration::from_secs(1)).await);
     assert!(
         started.elapsed() < Duration::from_secs(1),
@@ -65,14 +65,15 @@
     );
 }
 
-/// A version that is older, cut short or names an unknown service shows up in
-/// the store's row. What is in force stays.
+/// The row in the store holds an older version, truncated JSON, or a version
+/// that names an unknown service. The version in force must stay, and a valid
+/// newer one must still be accepted.
 #[rstest]
 #[case(br#"{"version":"00000009","routes":["#.to_vec())]
 #[case(br#"{"version":"00000009","routes":[{"name":"r","host":"shop.example","prefix":"/old/","route_type":"idempotent","timeout":"1s","service":"none","max_attempts":1}],"services":[]}"#.to_vec())]
 #[case(filbert_platform_standin::config_text(0, &[RouteSpec::reads("/new/", "quotes")]))]
 #[tokio::test]
-async fn a_bad_or_older_version_changes_nothing(#[case] text: Vec<u8>) {
+async fn an_invalid_or_older_version_changes_nothing(#[case] text: Vec<u8>) {
     let fleet = pair().await;
     fleet.store.put("op", "config", &text);
     tokio::time::sleep(Duration::from_millis(400)).await;
@@ -80,14 +81,16 @@
         assert_eq!(status_of(&fleet, host, "/old/a").await, 200);
         assert_eq!(status_of(&fleet, host, "/new/a").await, 404);
     }
-    publish(&fleet.store, 10, &newer());
+    publish(&fleet.store, 10, &newer_routes());
     assert!(
         serves_new_route(&fleet, SETTLE_WITHIN).await,
         "a good one after it"
     );
 }
 
-/// How the store is away for a while.
+/// The store is unreachable for a while, in one of several ways. Calls must
+/// still succeed, and a version published meanwhile must be in force after its
+/// return.
 #[rstest]
 #[case(StoreFault::Refuses(503))]
 #[case(StoreFault::Refuses(429))]
@@ -95,7 +98,7 @@
 #[case(StoreFault::Silent)]
 #[case(StoreFault::Slow(Duration::from_millis(700)))]
 #[tokio::test]
-async fn calls_go_on_while_the_store_is_away_and_versions_come_after(#[case] fault: StoreFault) {
+async fn calls_succeed_while_the_store_is_unreachable(#[case] fault: StoreFault) {
     let fleet = pair().await;
     fleet.store.set_fault(fault);
     for _ in 0..10 {
@@ -104,15 +107,16 @@
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
-    publish(&fleet.store, 2, &newer());
+    publish(&fleet.store, 2, &newer_routes());
     fleet.store.set_fault(StoreFault::None);
     assert!(serves_new_route(&fleet, SETTLE_WITHIN).await);
 }
 
-/// Rows vanish without a trace while the store is away. Each daemon's own row
-/// must be back within about two seconds of the store's return.
+/// Rows lapse without a trace in the history while the store is unreachable.
+/// Each daemon must have written its own row again about two seconds after the
+/// store's return.
 #[tokio::test]
-async fn a_lapsed_row_is_back_two_seconds_after_the_stores_return() {
+async fn a_lapsed_row_is_rewritten_after_the_stores_return() {
     let fleet = pair().await;
     let listed = || async { fleet.store.keys(HOSTS) == ["caller", "quoter"] };
     assert!(eventually(SETTLE_WITHIN, listed).await);
@@ -133,16 +137,17 @@
     );
 }
 
-/// The store drops its history; a feed that goes on from before gets a 410
-/// and reads its table anew. The change made meanwhile is not missed.
+/// The store drops its history, so a watch from an earlier position is answered
+/// with 410 and the table has to be read as a whole. The change made meanwhile
+/// must not be missed.
 #[tokio::test]
-async fn a_forgotten_history_costs_no_version() {
+async fn a_dropped_history_loses_no_version() {
     let fleet = pair().await;
     fleet.store.forget_history();
-    publish(&fleet.store, 2, &newer());
+    publish(&fleet.store, 2, &newer_routes());
     assert!(serves_new_route(&fleet, SETTLE_WITHIN).await);
     fleet.store.forget_history();
-    publish(&fleet.store, 3, &newer()[..1]);
+    publish(&fleet.store, 3, &newer_routes()[..1]);
     let gone = eventually(SETTLE_WITHIN, || async {
         status_of(&fleet, 0, "/new/a").await == 404
     })
@@ -150,13 +155,13 @@
     assert!(gone);
 }
 
-/// The answers of writes are lost, or the writes are done late. A daemon that
-/// starts then must still end up in the table, once, and be linked.
+/// Answers to writes are lost, or writes are applied late. A daemon that starts
+/// meanwhile must still be registered once, and linked to.
 #[rstest]
 #[case(StoreFault::LosesWriteAnswers)]
 #[case(StoreFault::LateWrites(Duration::from_millis(800)))]
 #[tokio::test]
-async fn a_daemon_joins_though_its_writes_go_unanswered(#[case] fault: StoreFault) {
+async fn a_daemon_is_registered_though_its_writes_go_unanswered(#[case] fault: StoreFault) {
     let mut fleet = pair().await;
     fleet.store.set_fault(fault);
     let spec = users::host_spec(&fleet.store, "late", "a", "quotes");
@@ -172,10 +177,10 @@
     assert!(eventually_logs(&fleet.hosts[0], "event=target_heard peer=late").await);
 }
 
-/// A daemon is killed while the store is away and starts again. It knows
-/// nothing; its peers still dial it and tell it the version and whom to call.
+/// A daemon is killed and restarted while the store is unreachable. It has no
+/// version and knows no hosts; its peers still dial it and must send it both.
 #[tokio::test]
-async fn a_restarted_daemon_learns_from_peers_while_the_store_is_away() {
+async fn a_restarted_daemon_learns_from_peers_while_the_store_is_unreachable() {
     let mut fleet = pair().await;
     fleet.store.set_fault(StoreFault::Refuses(503));
     fleet.hosts[0].kill();
@@ -194,10 +199,10 @@
     assert!(served, "{}", fleet.hosts[0].log());
 }
 
-/// All daemons die while the store is away. None may answer 404 for a route
-/// it has never heard of; they say that they cannot serve yet.
+/// All daemons are restarted while the store is unreachable. Without a version
+/// none of them knows any route: they must answer 503, not 404.
 #[tokio::test]
-async fn without_a_version_calls_are_refused_not_denied() {
+async fn calls_without_a_version_get_503_not_404() {
     let mut fleet = pair().await;
     fleet.store.set_fault(StoreFault::Resets);
     for host in &mut fleet.hosts {
@@ -219,31 +224,31 @@
     assert!(served, "{}", fleet.hosts[0].log());
 }
 
-/// The store falls silent just after a version, while every feed asks anew.
-/// Those calls are never answered, also when the store is back, and look the
-/// same as calls that wait for a change. Versions accepted after its return
-/// must still be in force within seconds.
+/// The store stops responding just after a version, while every feed makes its
+/// next call. Such calls are never answered, even after the store's return, and
+/// look the same as watches without a change. Versions published after the
+/// return must still be in force within seconds.
 #[tokio::test]
-async fn calls_that_hang_in_a_silent_store_delay_no_version() {
+async fn calls_pending_at_an_unresponsive_store_delay_no_version() {
     let fleet = pair().await;
-    publish(&fleet.store, 2, &newer()[..1]);
+    publish(&fleet.store, 2, &newer_routes()[..1]);
     tokio::time::sleep(Duration::from_millis(300)).await;
     fleet.store.set_fault(StoreFault::Silent);
     tokio::time::sleep(Duration::from_secs(3)).await;
     fleet.store.set_fault(StoreFault::None);
-    publish(&fleet.store, 3, &newer());
+    publish(&fleet.store, 3, &newer_routes());
     assert!(serves_new_route(&fleet, Duration::from_secs(3)).await);
 }
 
-/// A daemon stands still for seconds while versions change, as on a paused
-/// host. Back again it must not go on with what it had.
+/// A daemon is stopped for seconds while versions change, as on a paused host.
+/// Once it continues, it must get the newest version.
 #[tokio::test]
 async fn a_paused_daemon_catches_up() {
     let fleet = pair().await;
     fleet.hosts[0].signal(Signal::SIGSTOP);
-    publish(&fleet.store, 2, &newer());
+    publish(&fleet.store, 2, &newer_routes());
     tokio::time::sleep(Duration::from_secs(2)).await;
-    publish(&fleet.store, 3, &newer());
+    publish(&fleet.store, 3, &newer_routes());
     fleet.hosts[0].signal(Signal::SIGCONT);
     assert!(serves_new_route(&fleet, Duration::from_secs(2)).await);
 }
