--- a/crates/mesh/src/feeds.rs
+++ b/crates/mesh/src/feeds.rs
@@ -1,7 +1,7 @@
 //! Reads configuration and membership from the store, or leaves that to the
 //! upstreams of this daemon.
 
-mod take;
+mod apply;
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -18,7 +18,7 @@
 use crate::messages::StoreState;
 use crate::rows::HOSTS_TABLE;
 use crate::state::MeshShared;
-use take::{apply_configuration_row, apply_member_row, apply_table};
+use apply::{apply_configuration_row, apply_member_row, apply_table};
 
 /// Time after which a watch of the configuration returns without a change.
 ///
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -4,12 +4,11 @@
 //! [`calls`]) routes it, picks a target's host and answers for it. The one on
 //! the target's host ([`gate`], [`target`]) is the only way to that target
 //! and decides what runs, waits or is declined. [`links`] join the daemons, and
-//! [`asking`] gets versions over them; [`feeds`] bring configuration and
+//! [`version_fetch`] gets versions over them; [`feeds`] bring configuration and
 //! membership from the store; [`control`] hears the target beside the daemon;
 //! [`stop`] sees a planned stop through. [`rollouts`] moves services to other
 //! software versions, [`organisations`] tells whose a call is and whether it may run.
 
-pub mod asking;
 pub mod body;
 pub mod calls;
 pub mod control;
@@ -44,6 +43,7 @@
 pub mod stop;
 pub mod target;
 pub mod text_delta;
+pub mod version_fetch;
 pub mod versions;
 
 pub use settings::{MeshSettings, MeshSettingsError};
--- a/crates/mesh/src/members.rs
+++ b/crates/mesh/src/members.rs
@@ -1,7 +1,7 @@
 //! The hosts of the fleet as this daemon knows them, and the changes to them
 //! that it relays.
 
-mod tell;
+mod broadcast;
 
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
--- a/crates/mesh/src/news.rs
+++ b/crates/mesh/src/news.rs
@@ -11,13 +11,13 @@
 use h2::{RecvStream, SendStream};
 use http::Request;
 
-use crate::asking::VersionFetcher;
 use crate::body::next_data;
 use crate::links::{LinkError, NEWS_PATH, OPEN_TIMEOUT};
 use crate::messages::{encode, take, LinkMessage, TargetState, TargetStatus};
 use crate::metrics::CrossingCause;
 use crate::peers::Peer;
 use crate::state::MeshShared;
+use crate::version_fetch::VersionFetcher;
 
 /// Time in which changes of hosts settle before a whole list is asked for: many
 /// come and go at once, and each is told by itself.
@@ -39,7 +39,7 @@
         shared,
         peer,
         outgoing,
-        asker: VersionFetcher::new(shared, peer),
+        fetcher: VersionFetcher::new(shared, peer),
         members_due: None,
         was_up,
     };
@@ -85,7 +85,7 @@
     shared: &'a Rc<MeshShared>,
     peer: &'a Rc<Peer>,
     outgoing: SendStream<Bytes>,
-    asker: VersionFetcher<'a>,
+    fetcher: VersionFetcher<'a>,
     /// When the list of hosts behind a checksum is asked for, if it is still
     /// another than this daemon's.
     members_due: Option<(Instant, u64)>,
@@ -100,7 +100,7 @@
             while let Some(message) = self.peer.next_unsent() {
                 self.say(&message)?;
             }
-            let next_request_at = self.asker.next_request_at();
+            let next_request_at = self.fetcher.next_request_at();
             let members_at = self.members_due.map(|(at, _)| at);
             tokio::select! {
                 data = next_data(&mut incoming) => match data {
@@ -113,7 +113,7 @@
                 },
                 () = self.peer.has_unsent.notified() => {}
                 () = until(next_request_at) => {
-                    if let Some(ask) = self.asker.ask() {
+                    if let Some(ask) = self.fetcher.ask() {
                         self.say(&ask)?;
                     }
                 }
@@ -136,7 +136,7 @@
             self.take_message(message)?;
         }
         if !buffer.is_empty() {
-            self.asker.record_partial_message();
+            self.fetcher.record_partial_message();
         }
         Ok(())
     }
@@ -157,19 +157,19 @@
         match message {
             LinkMessage::InForce { version } => {
                 self.peer.version.set(Some(version));
-                self.asker.hear(version);
+                self.fetcher.hear(version);
             }
             LinkMessage::Steps { steps } => {
                 if !self.shared.apply_steps(&steps, from) {
                     self.shared.versions.store_query_requested.notify_one();
                 }
-                self.asker.record_response();
+                self.fetcher.record_response();
             }
             LinkMessage::Version { deflated } => {
                 self.shared.apply_deflated_version(&deflated, from);
-                self.asker.record_response();
+                self.fetcher.record_response();
             }
-            LinkMessage::NoSteps { are_heavy } => self.asker.record_missing_steps(are_heavy),
+            LinkMessage::NoSteps { are_heavy } => self.fetcher.record_missing_steps(are_heavy),
             LinkMessage::MembersSum(sum) => {
                 let is_other = sum != self.shared.members_sum();
                 let at = self.shared.clock.now() + MEMBERS_SETTLE;
--- a/crates/mesh/src/versions.rs
+++ b/crates/mesh/src/versions.rs
@@ -10,11 +10,11 @@
 use filbert_policy::routing::RouteIndex;
 use tokio::sync::Notify;
 
-use crate::asking::FullTextSlot;
 use crate::deflate;
 use crate::messages::{encode, LinkMessage, VersionStep};
 use crate::state::MeshShared;
 use crate::text_delta::TextDelta;
+use crate::version_fetch::FullTextSlot;
 
 /// Maximum number of deltas kept. Covers some seconds of a burst of versions,
 /// so that a daemon that missed a few of them still gets deltas.
--- a/crates/mesh/tests/asking_cases.rs
+++ b/crates/mesh/tests/version_fetch_cases.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use filbert_mesh::asking::FullTextSlot;
+use filbert_mesh::version_fetch::FullTextSlot;
 use rstest::rstest;
 
 /// What happens to a first request, and when a second one is made.
