--- a/crates/mesh/src/shell.rs
+++ b/crates/mesh/src/shell.rs
@@ -177,7 +177,7 @@
     spawn(Box::pin(plan::maintain_link_plan(Rc::clone(shared))));
     spawn(Box::pin(rows::maintain_own_row(Rc::clone(shared))));
     spawn(Box::pin(rows::run_row_writer(Rc::clone(shared))));
-    spawn(Box::pin(versions::announce_large_versions(Rc::clone(
+    spawn(Box::pin(versions::announce_oversized_versions(Rc::clone(
         shared,
     ))));
     spawn(Box::pin(feeds::watch_configuration(Rc::clone(shared))));
--- a/crates/mesh/src/versions.rs
+++ b/crates/mesh/src/versions.rs
@@ -40,7 +40,7 @@
 /// only after their reader had received all of it, two downloads of 0.9 s each
 /// on a link of 7.5 Mbit/s would follow one another, within the two seconds in
 /// which a version has to be in force.
-pub async fn announce_large_versions(shared: Rc<MeshShared>) {
+pub async fn announce_oversized_versions(shared: Rc<MeshShared>) {
     let mut lengths = shared.store.response_lengths();
     while lengths.changed().await.is_ok() {
         let length = usize::try_from(*lengths.borrow_and_update()).unwrap_or(usize::MAX);
