--- a/crates/mesh/src/members.rs
+++ b/crates/mesh/src/members.rs
@@ -164,7 +164,7 @@
 
     /// Records whether this daemon has an upstream at `now`. Returns for how
     /// long it has had none; `None` when it has one.
-    pub fn time_without_upstream(&self, has_upstream: bool, now: Instant) -> Option<Duration> {
+    pub fn track_upstream_loss(&self, has_upstream: bool, now: Instant) -> Option<Duration> {
         let since = self.without_upstream_since.get().unwrap_or(now);
         self.without_upstream_since
             .set((!has_upstream).then_some(since));
--- a/crates/mesh/src/plan.rs
+++ b/crates/mesh/src/plan.rs
@@ -69,9 +69,7 @@
         let mut upstreams = self.linked_upstreams();
         upstreams.retain(|peer| peer.store.get().tells());
         let now = self.clock.now();
-        let without_upstream_for = self
-            .members
-            .time_without_upstream(!upstreams.is_empty(), now);
+        let without_upstream_for = self.members.track_upstream_loss(!upstreams.is_empty(), now);
         let may_wait = !self.members.is_source() && self.follows();
         let role = if without_upstream_for.is_none()
             || (may_wait && without_upstream_for < Some(UPSTREAM_LOSS_GRACE))
--- a/crates/mesh/src/rows.rs
+++ b/crates/mesh/src/rows.rs
@@ -29,8 +29,8 @@
 /// Like `WRITE_BATCH_DELAY`, while no version is in force: the fleet has just
 /// been started, and its hosts join over several seconds.
 const BOOTSTRAP_BATCH_DELAY: Duration = Duration::from_millis(800);
-/// Time for an upstream to write this host's row before the next attempt: twice
-/// the batch delay, a call to the store and the way back.
+/// Time for an upstream to write this host's row before the next attempt: the
+/// batch delay, a call to the store and the way back, doubled.
 const OWN_ROW_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Number of requests to upstreams to write this host's row before this daemon
 /// writes it itself.
