--- a/crates/mesh/src/calls/dispatch.rs
+++ b/crates/mesh/src/calls/dispatch.rs
@@ -225,7 +225,7 @@
     async fn wait_for_first_link(&self) {
         let service = self.head.service.as_str();
         let now = self.shared.clock.now();
-        if !self.shared.members.note_call(service, now) {
+        if !self.shared.members.record_service_call(service, now) {
             return;
         }
         let until = self.deadline.min(now + FIRST_LINK_TIMEOUT);
--- a/crates/mesh/src/held_rows.rs
+++ b/crates/mesh/src/held_rows.rs
@@ -160,7 +160,7 @@
             if !is_current && self.members.is_source() {
                 self.members
                     .rows
-                    .want(RowChange::Remove(held_row_key(held.call)));
+                    .enqueue_change(RowChange::Remove(held_row_key(held.call)));
             }
         }
     }
@@ -173,7 +173,7 @@
         }
         for call in calls {
             if let Some(change) = self.quarantine.row_change(*call) {
-                self.members.rows.want(change);
+                self.members.rows.enqueue_change(change);
             }
         }
     }
--- a/crates/mesh/src/links.rs
+++ b/crates/mesh/src/links.rs
@@ -109,7 +109,7 @@
         if was_up.get() {
             redial_delay = MIN_REDIAL_DELAY;
             down_since = now;
-            shared.link_went_down(&peer.address.id);
+            shared.handle_link_down(&peer.address.id);
             log::info!("event=link_down peer={} reason=\"{end}\"", peer.address.id);
         } else {
             redial_delay = (redial_delay * 2).min(MAX_REDIAL_DELAY);
--- /dev/null
+++ b/crates/mesh/src/members/broadcast.rs
@@ -0,0 +1,89 @@
+//! Messages to other daemons about hosts and about access to the store.
+
+use twox_hash::XxHash64;
+
+use super::{HostChange, MAX_ADDED_HOSTS_SENT};
+use crate::messages::{encode, HostChanges, HostList, LinkMessage, PeerAddress, StoreState};
+use crate::state::MeshShared;
+
+impl MeshShared {
+    /// The message that lists every known host, this one included.
+    #[must_use]
+    pub fn member_list(&self) -> LinkMessage {
+        let mut hosts = self.members.hosts();
+        hosts.push(self.own_address());
+        LinkMessage::Members(HostList::compress(&hosts))
+    }
+
+    /// Checksum of the hosts in [`Self::member_list`], independent of their
+    /// order.
+    #[must_use]
+    pub fn members_checksum(&self) -> u64 {
+        let checksum_of = |address: &PeerAddress| XxHash64::oneshot(0, &encode(address));
+        let hosts = self.members.hosts.borrow();
+        let others = hosts.values().map(checksum_of);
+        others.fold(checksum_of(&self.own_address()), |total, checksum| {
+            total ^ checksum
+        })
+    }
+
+    /// Sends `message` to the daemons that follow this one.
+    pub fn send_to_followers(&self, message: &LinkMessage) {
+        let zone = self.settings.borrow().zone.clone();
+        self.peers.broadcast_to_followers(&zone, &encode(message));
+    }
+
+    /// Sends the queued changes to hosts to the followers. Many changes, as
+    /// when a fleet starts, go in one message.
+    pub fn send_host_changes(&self) {
+        let pending_changes = self.members.pending_changes.take();
+        if pending_changes.is_empty() {
+            return;
+        }
+        let mut changes = HostChanges::default();
+        for (id, change) in pending_changes {
+            match change {
+                HostChange::Added(address) => changes.added.push(address),
+                HostChange::Removed => changes.removed.push(id),
+                HostChange::Registered(address) => {
+                    changes.added.push(address);
+                    changes.registered.push(id);
+                }
+            }
+        }
+        if !self.members.is_reader() {
+            // Only readers relay changes to hosts. A daemon reports the rows
+            // that it has written itself, even if it is no longer a reader by
+            // now.
+            changes.added.clear();
+            changes.removed.clear();
+        }
+        if changes.added.len() > MAX_ADDED_HOSTS_SENT {
+            changes.added.clear();
+            self.send_to_followers(&LinkMessage::MembersChecksum(self.members_checksum()));
+        }
+        if changes != HostChanges::default() {
+            self.send_to_followers(&LinkMessage::HostsChanged(changes));
+        }
+    }
+
+    /// This daemon's access to the store, as last announced.
+    #[must_use]
+    pub fn store_state(&self) -> StoreState {
+        self.members.store.get()
+    }
+
+    /// Updates this daemon's access to the store, and announces a change to the
+    /// daemons that are linked here.
+    pub fn set_store_state(&self, state: StoreState) {
+        if self.members.store.replace(state) == state {
+            return;
+        }
+        if state.is_current() {
+            // Daemons that linked here earlier were not sent the checksum of
+            // the hosts.
+            self.send_to_followers(&LinkMessage::MembersChecksum(self.members_checksum()));
+        }
+        self.peers.broadcast(&encode(&LinkMessage::Store(state)));
+    }
+}
--- a/crates/mesh/src/news.rs
+++ b/crates/mesh/src/news.rs
@@ -11,13 +11,13 @@
 use h2::{RecvStream, SendStream};
 use http::Request;
 
-use crate::asking::VersionAsker;
 use crate::body::next_data;
 use crate::links::{LinkError, NEWS_URL, OPEN_TIMEOUT};
 use crate::messages::{decode_next, encode, LinkMessage, TargetState, TargetStatus};
 use crate::metrics::CrossingCause;
 use crate::peers::Peer;
 use crate::state::MeshShared;
+use crate::version_fetch::VersionFetcher;
 
 /// Delay between a checksum of hosts that differs from this daemon's and the
 /// request for the whole list. Often many hosts come and go at once, and the updates
@@ -42,7 +42,7 @@
         shared,
         peer,
         outgoing,
-        asker: VersionAsker::new(shared, peer),
+        fetcher: VersionFetcher::new(shared, peer),
         members_due: None,
         was_up,
     };
@@ -90,7 +90,7 @@
     shared: &'a Rc<MeshShared>,
     peer: &'a Rc<Peer>,
     outgoing: SendStream<Bytes>,
-    asker: VersionAsker<'a>,
+    fetcher: VersionFetcher<'a>,
     /// Checksum of the peer's list of hosts that differed from this daemon's, and the
     /// time at which the list is requested if it still differs.
     members_due: Option<(Instant, u64)>,
@@ -105,7 +105,7 @@
             while let Some(message) = self.peer.next_unsent() {
                 self.send_message(&message)?;
             }
-            let ask_at = self.asker.ask_at();
+            let next_request_at = self.fetcher.next_request_at();
             let members_at = self.members_due.map(|(at, _)| at);
             tokio::select! {
                 data = next_data(&mut incoming) => match data {
@@ -117,8 +117,8 @@
                     None => return Ok(()),
                 },
                 () = self.peer.unsent_added.notified() => {}
-                () = sleep_until(ask_at) => {
-                    if let Some(request) = self.asker.ask() {
+                () = sleep_until(next_request_at) => {
+                    if let Some(request) = self.fetcher.ask() {
                         self.send_message(&request)?;
                     }
                 }
@@ -141,7 +141,7 @@
             self.handle_message(message)?;
         }
         if !buffer.is_empty() {
-            self.asker.take_part();
+            self.fetcher.record_partial_message();
         }
         Ok(())
     }
@@ -163,26 +163,28 @@
         match message {
             LinkMessage::InForce { version } => {
                 self.peer.version.set(Some(version));
-                self.asker.hear(version);
+                self.fetcher.hear(version);
             }
             LinkMessage::Steps { steps } => {
-                if !self.shared.offer_steps(&steps, from) {
-                    self.shared.versions.wanted.notify_one();
+                if !self.shared.apply_steps(&steps, from) {
+                    self.shared.versions.store_query_requested.notify_one();
                 }
-                self.asker.take_answer();
+                self.fetcher.record_response();
             }
             LinkMessage::Version { deflated } => {
-                self.shared.offer_deflated(&deflated, from);
-                self.asker.take_answer();
+                self.shared.apply_deflated_version(&deflated, from);
+                self.fetcher.record_response();
+            }
+            LinkMessage::NoSteps { are_too_large } => {
+                self.fetcher.record_missing_steps(are_too_large);
             }
-            LinkMessage::NoSteps { are_too_large } => self.asker.lacks_steps(are_too_large),
             LinkMessage::MembersChecksum(checksum) => {
                 let is_different = checksum != self.shared.members_checksum();
                 let at = self.shared.clock.now() + MEMBERS_REQUEST_DELAY;
                 self.members_due = is_different.then_some((at, checksum));
             }
             LinkMessage::WrongHost(other) => {
-                self.shared.host_was_replaced(&self.peer.address, other);
+                self.shared.handle_host_replaced(&self.peer.address, other);
                 return Err(LinkError::HostReplaced);
             }
             LinkMessage::RequestMembers => self.send_message(&self.shared.member_list())?,
@@ -274,19 +276,19 @@
                 // since the daemon last read the store, if it is about to follow an
                 // upstream.
                 for host in hosts {
-                    shared.learn_host(host, from);
+                    shared.upsert_host(host, from);
                 }
             } else {
-                shared.take_members(hosts, from);
+                shared.apply_member_list(hosts, from);
             }
         }
         LinkMessage::OversizedVersion => {
             if shared.follows() {
                 log::info!("event=heavy_version_coming from={from}");
-                shared.versions.wanted.notify_one();
+                shared.versions.store_query_requested.notify_one();
             }
         }
-        LinkMessage::HostsChanged(changes) => shared.take_changes(changes, from),
+        LinkMessage::HostsChanged(changes) => shared.apply_host_changes(changes, from),
         LinkMessage::Suspects(calls) => shared.quarantine.merge_suspects(&calls, from),
         LinkMessage::Rollouts(news) => shared.merge_rollouts(&news, from),
         LinkMessage::VersionConfirmation(confirmation) => {
--- a/crates/mesh/src/organisations/freshness.rs
+++ b/crates/mesh/src/organisations/freshness.rs
@@ -113,7 +113,7 @@
     fn forward_confirmation(&self) {
         if let (Some(confirmation), true) = (self.version_confirmation(), self.members.is_reader())
         {
-            self.tell_followers(&confirmation);
+            self.send_to_followers(&confirmation);
         }
     }
 }
--- a/crates/mesh/src/serve_peers/news.rs
+++ b/crates/mesh/src/serve_peers/news.rs
@@ -13,7 +13,7 @@
 use crate::messages::{decode_next, encode, DecodeError, LinkMessage, PeerAddress, RowChange};
 use crate::organisations::tokens;
 use crate::state::MeshShared;
-use crate::versions::UntoldSteps;
+use crate::versions::StepsUnavailable;
 
 /// Path of the news stream, without scheme and authority.
 pub(super) fn news_path() -> &'static str {
@@ -122,7 +122,7 @@
 
 fn handle_hello(shared: &Rc<MeshShared>, from: PeerAddress) {
     let id = from.id.clone();
-    shared.learn_host(from, "hello");
+    shared.upsert_host(from, "hello");
     // A peer that links to this daemon is up: it can be dialed at once, without waiting
     // for the redial delay.
     if let Some(peer) = shared.peers.get(&id) {
@@ -144,14 +144,14 @@
                     deflated: versions.deflated().to_vec(),
                 },
                 Err(reason) => LinkMessage::NoSteps {
-                    are_too_large: reason == UntoldSteps::Heavy,
+                    are_too_large: reason == StepsUnavailable::TooLarge,
                 },
             })
         }
         LinkMessage::RequestMembers => Some(shared.member_list()),
         LinkMessage::Members(list) if !shared.members.is_known.get() => {
             match list.decompress() {
-                Ok(hosts) => shared.take_members(hosts, "hello"),
+                Ok(hosts) => shared.apply_member_list(hosts, "hello"),
                 Err(DecodeError) => log::error!("event=members_unreadable from=hello"),
             }
             None
@@ -161,12 +161,12 @@
             is_forwarded,
         } => {
             if let RowChange::Write(address) = &change {
-                shared.learn_host(address.clone(), "hello");
+                shared.upsert_host(address.clone(), "hello");
             }
             if is_forwarded {
-                shared.members.rows.want(change);
+                shared.members.rows.enqueue_change(change);
             } else {
-                shared.see_to_row(change, true);
+                shared.request_row_change(change, true);
             }
             None
         }
