--- a/crates/mesh/src/calls/admit.rs
+++ b/crates/mesh/src/calls/admit.rs
@@ -36,12 +36,12 @@
         CallHolder::Nobody => return Ok(None),
         CallHolder::Organisation(holder) => holder,
         CallHolder::Unknown => {
-            shared.metrics.keyed("unknown");
+            shared.metrics.record_key_check("unknown");
             story.reason = "unknown_key";
             return Err(ClientAnswer::own(NOT_ALLOWED));
         }
         CallHolder::Stale => {
-            shared.metrics.keyed("out_of_date");
+            shared.metrics.record_key_check("out_of_date");
             story.reason = "keys_out_of_date";
             return Err(refuse(KEYS_AGAIN));
         }
@@ -53,14 +53,14 @@
         match shared.take_token(&holder, limit).await {
             Ok(token) => token,
             Err(next_token_in) => {
-                shared.metrics.keyed("over_quota");
+                shared.metrics.record_key_check("over_quota");
                 desk.counts.over_quota(&holder.name);
                 story.reason = "over_quota";
                 return Err(over_quota(next_token_in));
             }
         }
     };
-    shared.metrics.keyed("allowed");
+    shared.metrics.record_key_check("allowed");
     desk.counts.allowed(&holder.name);
     call.holder = Some(holder);
     Ok(token)
--- a/crates/mesh/src/calls/attempt.rs
+++ b/crates/mesh/src/calls/attempt.rs
@@ -14,7 +14,7 @@
 use crate::body::{next_data, AnswerBody, CallBody, LinkBody};
 use crate::links::CALL_PATH;
 use crate::messages::{encode, take, AnswerHead, CallHead, ReplyHead};
-use crate::metrics::CrossingCause;
+use crate::metrics::CrossZoneCause;
 use crate::peers::{LinkUse, Peer};
 use crate::serve_peers::send_piece;
 use crate::state::MeshShared;
@@ -138,13 +138,13 @@
     }
 }
 
-fn cause_of(reply: &ReplyHead) -> CrossingCause {
+fn cause_of(reply: &ReplyHead) -> CrossZoneCause {
     match reply {
-        ReplyHead::Answer { .. } => CrossingCause::Answer,
+        ReplyHead::Answer { .. } => CrossZoneCause::Answer,
         ReplyHead::Declined { .. }
         | ReplyHead::HeldBack { .. }
         | ReplyHead::Rejected { .. }
-        | ReplyHead::Lost { .. } => CrossingCause::Refusal,
+        | ReplyHead::Lost { .. } => CrossZoneCause::Refusal,
     }
 }
 
@@ -188,7 +188,7 @@
                         _ => 0,
                     };
                     let bytes = unread - buffer.len() + usize::try_from(length).unwrap_or(0);
-                    shared.count_crossing(peer, cause_of(&reply), bytes);
+                    shared.count_cross_zone_bytes(peer, cause_of(&reply), bytes);
                     return Ok(Some((reply, LinkBody::new(incoming, buffer))));
                 }
                 Ok(None) => {}
@@ -205,13 +205,13 @@
             CallBody::Whole(whole) => {
                 let mut start = BytesMut::from(encode(head));
                 start.extend_from_slice(&whole);
-                shared.count_crossing(peer, CrossingCause::Call, start.len());
+                shared.count_cross_zone_bytes(peer, CrossZoneCause::Call, start.len());
                 outgoing.send_data(start.freeze(), true).map_err(|_| ())?;
             }
             CallBody::Pieces(mut pieces) => {
                 outgoing.send_data(encode(head), false).map_err(|_| ())?;
                 while let Some(piece) = pieces.next().await.map_err(|_| ())? {
-                    shared.count_crossing(peer, CrossingCause::Call, piece.len());
+                    shared.count_cross_zone_bytes(peer, CrossZoneCause::Call, piece.len());
                     send_piece(&mut outgoing, piece).await.map_err(|_| ())?;
                 }
                 outgoing.send_data(Bytes::new(), true).map_err(|_| ())?;
--- a/crates/mesh/src/calls/message.rs
+++ b/crates/mesh/src/calls/message.rs
@@ -15,10 +15,9 @@
 /// Until when an answer is worth most, counted from the client's first try.
 /// A client that does not say how long it waits has all of its aim.
 pub(super) fn aim_of(shared: &MeshShared, route: &RouteRule, call: &ClientCall) -> Instant {
-    let passed = call
-        .headers
-        .time_left
-        .map_or(Duration::ZERO, |wait| shared.note_wait(&route.name, wait));
+    let passed = call.headers.time_left.map_or(Duration::ZERO, |wait| {
+        shared.record_client_timeout(&route.name, wait)
+    });
     call.received + route.soft_deadline.saturating_sub(passed)
 }
 
@@ -49,7 +48,7 @@
         left_us: 0,
         aim_us: 0,
         priority: call_priority,
-        answer_bytes: shared.usual_answer(&route.name),
+        answer_bytes: shared.average_answer_bytes(&route.name),
         kind: route.name.clone(),
         usual_run: shared.usual_run(&route.name).map(UsualRun::from),
     };
--- a/crates/mesh/src/calls/pick.rs
+++ b/crates/mesh/src/calls/pick.rs
@@ -77,7 +77,7 @@
         };
         let in_zone = peer.address.zone == settings.zone;
         let reported = status.load.running + status.load.waiting;
-        let occupancy = estimated_occupancy(reported, sent, shared.daemons().min(MOST_ALIKE));
+        let occupancy = estimated_occupancy(reported, sent, shared.daemon_count().min(MOST_ALIKE));
         let Some(mut view) = view_of(&status, service, usual, in_zone, occupancy) else {
             continue;
         };
@@ -98,7 +98,7 @@
         zone_has_target: false,
         is_above_lowest_priority: head.priority < shared.current_index().lowest_priority(),
     };
-    let crossing = settings.crossing_cost();
+    let crossing = settings.cross_zone_cost();
     let among = |seen: Vec<SeenTarget>| choose_among(seen, tried, request, &crossing);
     let Some(version_preference) = shared.rollouts.version_preference(service, &head.id) else {
         return among(of_most_common(seen));
--- a/crates/mesh/src/calls/place.rs
+++ b/crates/mesh/src/calls/place.rs
@@ -81,12 +81,12 @@
         story: &'a mut CallStory,
     ) -> Placing<'a> {
         let service = shared
-            .dealer
+            .weighted_round_robin
             .borrow_mut()
             .next_service(route, shared.seed)
             .to_owned();
         let now = shared.clock.now();
-        shared.budget.borrow_mut().record_call(&service, now);
+        shared.retry_budget.borrow_mut().record_call(&service, now);
         let soft_deadline = aim_of(shared, route, &call);
         story.service.clone_from(&service);
         story.aim_ms = soft_deadline
@@ -126,8 +126,8 @@
         self.await_links().await;
         loop {
             let now = self.shared.clock.now();
-            let ends_by = self.shared.stop.ends_by().unwrap_or(self.limit);
-            let limit = self.limit.min(ends_by);
+            let exit_deadline = self.shared.stop.exit_deadline().unwrap_or(self.limit);
+            let limit = self.limit.min(exit_deadline);
             self.head.left_us = micros(limit.saturating_duration_since(now));
             self.head.aim_us = micros(self.soft_deadline.saturating_duration_since(now));
             if !self.may_go() {
@@ -157,7 +157,7 @@
                 (NextStep::PassOn, AttemptOutcome::Answer { head, body, ran }) => {
                     if head.status < FIRST_FAILURE {
                         let length = head.body_length.unwrap_or(0);
-                        self.shared.note_answer(&self.route.name, length, ran);
+                        self.shared.record_answer(&self.route.name, length, ran);
                         if matches!(body, AnswerBody::Whole(_)) {
                             self.shared.quarantine.ran_well(self.head.identity);
                         }
@@ -288,7 +288,7 @@
         self.story.declines = self.declines;
         self.shared
             .metrics
-            .attempt(&self.head.service, end_label(end));
+            .record_attempt(&self.head.service, end_label(end));
         end
     }
 
@@ -329,10 +329,10 @@
     }
 
     fn try_spend(&self, cause: RetryCause) -> bool {
-        let daemons = self.shared.daemons();
+        let daemon_count = self.shared.daemon_count();
         let now = self.shared.clock.now();
-        let mut budget = self.shared.budget.borrow_mut();
-        budget.try_spend(&self.head.service, cause, daemons, now)
+        let mut budget = self.shared.retry_budget.borrow_mut();
+        budget.try_spend(&self.head.service, cause, daemon_count, now)
     }
 }
 
--- a/crates/mesh/src/calls/place/ending.rs
+++ b/crates/mesh/src/calls/place/ending.rs
@@ -10,7 +10,7 @@
 use super::{Placing, NO_TARGET};
 use crate::calls::pick::PickedTarget;
 use crate::calls::{refuse, ClientAnswer, BAD_GATEWAY};
-use crate::logging::LineWeight;
+use crate::logging::LinePriority;
 
 /// Shortest time to come back after for a call that is held back.
 const SHORTEST_HOLD: Duration = Duration::from_millis(40);
@@ -19,7 +19,9 @@
     /// Writes the line on an attempt that gave no good answer.
     pub(super) fn tell(&self, target: &PickedTarget, end: AttemptEnd, step: NextStep) {
         let now = self.shared.clock.now();
-        if end == AttemptEnd::Answered || !self.shared.lines.takes(LineWeight::Notable, now) {
+        if end == AttemptEnd::Answered
+            || !self.shared.log_limiter.allows(LinePriority::Notable, now)
+        {
             return;
         }
         let view = &target.view;
@@ -53,7 +55,7 @@
         }
         if let Some(left) = self.held_for {
             self.story.reason = "held_back";
-            self.shared.metrics.quarantined("refused");
+            self.shared.metrics.record_quarantine_change("refused");
             // The whole time, also where the caller will not wait so long: an
             // earlier try would be refused too.
             return refuse(left.max(SHORTEST_HOLD));
--- a/crates/mesh/src/calls/story.rs
+++ b/crates/mesh/src/calls/story.rs
@@ -8,7 +8,7 @@
     ClientAnswer, ClientCall, FIRST_FAILURE, NOT_ALLOWED, NOT_FOUND, TIMED_OUT, TOO_MANY,
     UNAVAILABLE,
 };
-use crate::logging::LineWeight;
+use crate::logging::LinePriority;
 use crate::state::MeshShared;
 
 /// What is known of a call when it ends.
@@ -67,14 +67,14 @@
                 (outcome, *status, *come_back)
             }
         };
-        shared.metrics.call(&self.service, outcome, took);
+        shared.metrics.record_call(&self.service, outcome, took);
         let is_late = self.aim_ms > 0 && took.as_millis() > self.aim_ms;
         let weight = if outcome == "answered" && !is_late && self.attempts <= 1 {
-            LineWeight::Ordinary
+            LinePriority::Ordinary
         } else {
-            LineWeight::Notable
+            LinePriority::Notable
         };
-        if !shared.lines.takes(weight, now) {
+        if !shared.log_limiter.allows(weight, now) {
             return;
         }
         log::info!(
--- a/crates/mesh/src/feeds.rs
+++ b/crates/mesh/src/feeds.rs
@@ -106,7 +106,7 @@
     /// Whether the store has come back from an older copy since the last answer.
     fn notes_era(&mut self, shared: &MeshShared) -> bool {
         let era = shared.store.era();
-        shared.note_era(era);
+        shared.handle_store_era(era);
         self.era.replace(era).is_some_and(|before| before != era)
     }
 
@@ -275,7 +275,9 @@
     let is_configuration = subject == FeedSubject::Configuration;
     match step(shared, state).await {
         Ok((next, has_changed)) => {
-            shared.metrics.store_call(subject.label(), "answered");
+            shared
+                .metrics
+                .record_store_call(subject.label(), "answered");
             if state.failures > 0 {
                 log::info!(
                     "event=store_regained subject={subject:?} failures={}",
@@ -297,7 +299,7 @@
             }
         }
         Err(report) => {
-            shared.metrics.store_call(subject.label(), "failed");
+            shared.metrics.record_store_call(subject.label(), "failed");
             if state.failures == 0 {
                 let cause = report.current_context();
                 log::warn!("event=store_lost subject={subject:?} error=\"{cause}\"");
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -23,7 +23,7 @@
 
 use crate::body::MOST_AHEAD_KIB;
 use crate::egress::EgressPacer;
-use crate::logging::LineBudget;
+use crate::logging::LogRateLimiter;
 use crate::messages::{CallHead, TargetLoad, TargetState, TargetStatus};
 use crate::metrics::MeshMetrics;
 use crate::quarantine::SharedQuarantine;
@@ -69,7 +69,7 @@
     egress: Rc<EgressPacer>,
     /// Room for answers that are read ahead of their takers, in KiB.
     ahead: Arc<Semaphore>,
-    lines: LineBudget,
+    log_limiter: LogRateLimiter,
     clock: Rc<dyn Clock>,
     address: Cell<SocketAddr>,
     drain: Cell<Duration>,
@@ -110,7 +110,7 @@
             metrics,
             egress,
             ahead: Arc::new(Semaphore::new(MOST_AHEAD_KIB)),
-            lines: LineBudget::new(clock.now()),
+            log_limiter: LogRateLimiter::new(clock.now()),
             clock,
             address: Cell::new(settings.target),
             drain: Cell::new(settings.times.drain),
--- a/crates/mesh/src/gate/run.rs
+++ b/crates/mesh/src/gate/run.rs
@@ -12,7 +12,7 @@
 use super::wait::Declined;
 use super::{turn_time, Gate, StartedRun};
 use crate::body::{AheadBody, AnswerBody, CallBody};
-use crate::logging::LineWeight;
+use crate::logging::LinePriority;
 use crate::messages::{micros, AnswerHead, CallHead, ReplyHead};
 use crate::quarantine::AgedCrash;
 use crate::rollouts::tally::{RunTold, RunWatch};
@@ -145,8 +145,8 @@
     }
 
     fn note_answer(&self, run: &CallRun<'_>, head: &ResponseHead, took: Duration) {
-        self.metrics.gate("ran");
-        self.metrics.run(run.waited(), took);
+        self.metrics.record_gate_verdict("ran");
+        self.metrics.record_run(run.waited(), took);
         {
             let mut state = self.state.borrow_mut();
             if head.status < FIRST_FAILURE {
@@ -163,13 +163,13 @@
     }
 
     fn note_ill(&self, run: &CallRun<'_>, verdict: &'static str, reason: &str) {
-        self.metrics.gate(verdict);
+        self.metrics.record_gate_verdict(verdict);
         self.record(RunOutcome::Failure);
         self.say_run(run, verdict, reason);
     }
 
     fn note_unreachable(&self, run: &CallRun<'_>, error: &std::io::Error) -> ReplyHead {
-        self.metrics.gate("unreachable");
+        self.metrics.record_gate_verdict("unreachable");
         self.say_run(run, "unreachable", &error.to_string());
         let pause = self.mark_down();
         self.declined(Declined {
@@ -180,7 +180,7 @@
 
     fn say_run(&self, run: &CallRun<'_>, verdict: &str, reason: &str) {
         let now = self.clock.now();
-        if self.lines.takes(LineWeight::Notable, now) {
+        if self.log_limiter.allows(LinePriority::Notable, now) {
             log::info!(
                 "event=gate_ran request={} call={} instance={} verdict={verdict} reason=\"{reason}\" waited_ms={} ran_ms={}",
                 run.call.id,
@@ -196,11 +196,11 @@
     /// calls a second; the caller's daemon writes a line on each attempt too.
     fn note_declined(&self, call: &CallHead, received: Instant, declined: Declined) {
         let now = self.clock.now();
-        self.metrics.gate(match declined.reason {
+        self.metrics.record_gate_verdict(match declined.reason {
             DeclineReason::Crowded => "crowded",
             DeclineReason::Closed => "closed",
         });
-        if !self.lines.takes(LineWeight::Notable, now) {
+        if !self.log_limiter.allows(LinePriority::Notable, now) {
             return;
         }
         let load = self.load();
@@ -235,8 +235,11 @@
         if left.is_zero() {
             return None;
         }
-        self.metrics.gate("held_back");
-        if self.lines.takes(LineWeight::Notable, self.clock.now()) {
+        self.metrics.record_gate_verdict("held_back");
+        if self
+            .log_limiter
+            .allows(LinePriority::Notable, self.clock.now())
+        {
             log::info!(
                 "event=gate_held_back request={} call={} left_ms={}",
                 call.id,
--- a/crates/mesh/src/ingress/mod.rs
+++ b/crates/mesh/src/ingress/mod.rs
@@ -23,7 +23,7 @@
 use crate::small_server::{accept_for_ever, reason_phrase};
 use crate::sockets;
 use crate::state::MeshShared;
-use crate::stop::CallMark;
+use crate::stop::ActiveCallGuard;
 use crate::target::chunk;
 use bodies::{identity_of, pump_body, read_body};
 
@@ -52,7 +52,7 @@
     id: String,
     is_http11: bool,
     closes: bool,
-    _mark: CallMark,
+    _mark: ActiveCallGuard,
 }
 
 impl Drop for DueAnswer {
@@ -153,7 +153,7 @@
         id,
         is_http11,
         closes,
-        _mark: CallMark::new(shared),
+        _mark: ActiveCallGuard::new(shared),
     });
     state.added.notify_one();
 }
@@ -237,7 +237,7 @@
             },
             () = tokio::time::sleep_until(until.into()), if !is_busy => {}
             () = state.written.notified() => {}
-            () = shared.stop.changed.notified() => {}
+            () = shared.stop.phase_changed.notified() => {}
         }
     }
     Ok(())
--- a/crates/mesh/src/logging.rs
+++ b/crates/mesh/src/logging.rs
@@ -2,7 +2,7 @@
 //! standard output.
 //!
 //! Writing never blocks the daemon: lines go into a bounded buffer that a
-//! thread empties. What does not fit, and what the [`LineBudget`] holds back,
+//! thread empties. What does not fit, and what the [`LogRateLimiter`] holds back,
 //! is counted and the count logged.
 
 use std::cell::RefCell;
@@ -160,7 +160,7 @@
 
 /// How much a line on a call matters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LineWeight {
+pub enum LinePriority {
     /// An ordinary success: a sample is enough.
     Ordinary,
     /// A call that failed, was refused, late or sent again.
@@ -189,15 +189,15 @@
 /// Bounds the lines on calls by weight; lines on beliefs are not bounded, as
 /// they are few by nature.
 #[derive(Debug)]
-pub struct LineBudget {
+pub struct LogRateLimiter {
     state: RefCell<BudgetState>,
 }
 
-impl LineBudget {
+impl LogRateLimiter {
     /// A full budget.
     #[must_use]
-    pub fn new(now: Instant) -> LineBudget {
-        LineBudget {
+    pub fn new(now: Instant) -> LogRateLimiter {
+        LogRateLimiter {
             state: RefCell::new(BudgetState {
                 ordinary: ORDINARY_RATE,
                 notable: NOTABLE_RATE * BURST,
@@ -209,7 +209,7 @@
     }
 
     /// Whether a line may be written now.
-    pub fn takes(&self, weight: LineWeight, now: Instant) -> bool {
+    pub fn allows(&self, weight: LinePriority, now: Instant) -> bool {
         let mut state = self.state.borrow_mut();
         let passed = now.saturating_duration_since(state.refilled).as_secs_f64();
         state.refilled = now;
@@ -221,16 +221,16 @@
             log::info!("event=lines_held_back ordinary={ordinary} notable={notable}");
         }
         let tokens = match weight {
-            LineWeight::Ordinary => &mut state.ordinary,
-            LineWeight::Notable => &mut state.notable,
+            LinePriority::Ordinary => &mut state.ordinary,
+            LinePriority::Notable => &mut state.notable,
         };
         if *tokens >= 1.0 {
             *tokens -= 1.0;
             return true;
         }
         match weight {
-            LineWeight::Ordinary => state.held_back.0 += 1,
-            LineWeight::Notable => state.held_back.1 += 1,
+            LinePriority::Ordinary => state.held_back.0 += 1,
+            LinePriority::Notable => state.held_back.1 += 1,
         }
         false
     }
--- a/crates/mesh/src/metrics.rs
+++ b/crates/mesh/src/metrics.rs
@@ -19,7 +19,7 @@
 
 /// What bytes on a link to another availability zone are for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CrossingCause {
+pub enum CrossZoneCause {
     /// A call and its body.
     Call,
     /// An answer and its body.
@@ -40,18 +40,18 @@
     Token,
 }
 
-impl CrossingCause {
+impl CrossZoneCause {
     fn label(self) -> &'static str {
         match self {
-            CrossingCause::Call => "call",
-            CrossingCause::Answer => "answer",
-            CrossingCause::Refusal => "refusal",
-            CrossingCause::Load => "load",
-            CrossingCause::Version => "version",
-            CrossingCause::Member => "member",
-            CrossingCause::Suspect => "suspect",
-            CrossingCause::Rollout => "rollout",
-            CrossingCause::Token => "token",
+            CrossZoneCause::Call => "call",
+            CrossZoneCause::Answer => "answer",
+            CrossZoneCause::Refusal => "refusal",
+            CrossZoneCause::Load => "load",
+            CrossZoneCause::Version => "version",
+            CrossZoneCause::Member => "member",
+            CrossZoneCause::Suspect => "suspect",
+            CrossZoneCause::Rollout => "rollout",
+            CrossZoneCause::Token => "token",
         }
     }
 }
@@ -160,7 +160,7 @@
     }
 
     /// Counts the end of a client's call.
-    pub fn call(&self, service: &str, outcome: &'static str, took: Duration) {
+    pub fn record_call(&self, service: &str, outcome: &'static str, took: Duration) {
         let labels = [
             KeyValue::new("service", service.to_owned()),
             KeyValue::new("outcome", outcome),
@@ -170,7 +170,7 @@
     }
 
     /// Counts the end of an attempt at a target.
-    pub fn attempt(&self, service: &str, end: &'static str) {
+    pub fn record_attempt(&self, service: &str, end: &'static str) {
         self.attempts.add(
             1,
             &[
@@ -181,7 +181,7 @@
     }
 
     /// Counts a stage of the roll-out of `service`.
-    pub fn rollout(&self, service: &str, stage: &'static str) {
+    pub fn record_rollout_stage(&self, service: &str, stage: &'static str) {
         let labels = [
             KeyValue::new("service", service.to_owned()),
             KeyValue::new("stage", stage),
@@ -190,18 +190,18 @@
     }
 
     /// Counts what became of a call at the gate.
-    pub fn gate(&self, verdict: &'static str) {
+    pub fn record_gate_verdict(&self, verdict: &'static str) {
         self.gate.add(1, &[KeyValue::new("verdict", verdict)]);
     }
 
     /// Counts a run: how long its call waited, and how long it took.
-    pub fn run(&self, waited: Duration, took: Duration) {
+    pub fn record_run(&self, waited: Duration, took: Duration) {
         self.gate_wait.record(waited.as_secs_f64(), &[]);
         self.run_time.record(took.as_secs_f64(), &[]);
     }
 
     /// Counts a call to the store.
-    pub fn store_call(&self, subject: &'static str, outcome: &'static str) {
+    pub fn record_store_call(&self, subject: &'static str, outcome: &'static str) {
         self.store_calls.add(
             1,
             &[
@@ -213,18 +213,18 @@
 
     /// Counts bytes, without those of the transport, that went to another
     /// availability zone or came from there over a link that this daemon opened.
-    pub fn crossed(&self, cause: CrossingCause, bytes: usize) {
+    pub fn record_cross_zone_bytes(&self, cause: CrossZoneCause, bytes: usize) {
         let labels = [KeyValue::new("cause", cause.label())];
         self.zone_bytes.add(bytes as u64, &labels);
     }
 
     /// Counts what became of a call that was at work as targets ended.
-    pub fn quarantined(&self, change: &'static str) {
+    pub fn record_quarantine_change(&self, change: &'static str) {
         self.quarantined.add(1, &[KeyValue::new("change", change)]);
     }
 
     /// Counts a call that needs a key.
-    pub fn keyed(&self, verdict: &'static str) {
+    pub fn record_key_check(&self, verdict: &'static str) {
         self.keyed.add(1, &[KeyValue::new("verdict", verdict)]);
     }
 
--- a/crates/mesh/src/news.rs
+++ b/crates/mesh/src/news.rs
@@ -15,7 +15,7 @@
 use crate::body::next_data;
 use crate::links::{LinkError, NEWS_PATH, OPEN_TIMEOUT};
 use crate::messages::{encode, take, LinkMessage, TargetState, TargetStatus};
-use crate::metrics::CrossingCause;
+use crate::metrics::CrossZoneCause;
 use crate::peers::Peer;
 use crate::state::MeshShared;
 
@@ -129,7 +129,7 @@
             let bytes = unread - buffer.len();
             unread = buffer.len();
             self.shared
-                .count_crossing(self.peer, cause_of(&message), bytes);
+                .count_cross_zone_bytes(self.peer, cause_of(&message), bytes);
             if !matches!(message, LinkMessage::NotHere(_)) {
                 self.come_up();
             }
@@ -198,7 +198,7 @@
     fn say(&mut self, message: &LinkMessage) -> Result<(), LinkError> {
         let frame = encode(message);
         self.shared
-            .count_crossing(self.peer, cause_of(message), frame.len());
+            .count_cross_zone_bytes(self.peer, cause_of(message), frame.len());
         self.outgoing
             .send_data(frame, false)
             .map_err(LinkError::Protocol)
@@ -213,11 +213,11 @@
     }
 }
 
-fn cause_of(message: &LinkMessage) -> CrossingCause {
+fn cause_of(message: &LinkMessage) -> CrossZoneCause {
     match message {
-        LinkMessage::Target(_) => CrossingCause::Load,
-        LinkMessage::Suspects(_) => CrossingCause::Suspect,
-        LinkMessage::Rollouts(_) | LinkMessage::Tallies(_) => CrossingCause::Rollout,
+        LinkMessage::Target(_) => CrossZoneCause::Load,
+        LinkMessage::Suspects(_) => CrossZoneCause::Suspect,
+        LinkMessage::Rollouts(_) | LinkMessage::Tallies(_) => CrossZoneCause::Rollout,
         LinkMessage::InForce { .. }
         | LinkMessage::WantVersion { .. }
         | LinkMessage::HeavyVersion
@@ -226,9 +226,9 @@
         | LinkMessage::VersionAge(_)
         | LinkMessage::WantClock { .. }
         | LinkMessage::StoreClock { .. }
-        | LinkMessage::Version { .. } => CrossingCause::Version,
+        | LinkMessage::Version { .. } => CrossZoneCause::Version,
         LinkMessage::RenewPool | LinkMessage::WantTokens { .. } | LinkMessage::Tokens { .. } => {
-            CrossingCause::Token
+            CrossZoneCause::Token
         }
         LinkMessage::Hello { .. }
         | LinkMessage::NotHere(_)
@@ -238,7 +238,7 @@
         | LinkMessage::HostsChanged(_)
         | LinkMessage::Follow
         | LinkMessage::WantRow { .. }
-        | LinkMessage::Store(_) => CrossingCause::Member,
+        | LinkMessage::Store(_) => CrossZoneCause::Member,
     }
 }
 
--- a/crates/mesh/src/quarantine.rs
+++ b/crates/mesh/src/quarantine.rs
@@ -15,7 +15,7 @@
 use tokio::sync::Notify;
 
 use crate::held_rows::{self, HeldRow, WrittenRows};
-use crate::logging::{LineBudget, LineWeight};
+use crate::logging::{LinePriority, LogRateLimiter};
 use crate::messages::{encode, LinkMessage, RowChange};
 use crate::metrics::MeshMetrics;
 use crate::state::MeshShared;
@@ -116,7 +116,7 @@
     table: RefCell<QuarantineTable>,
     clock: Rc<dyn Clock>,
     metrics: Rc<MeshMetrics>,
-    lines: LineBudget,
+    log_limiter: LogRateLimiter,
     /// A random fraction of this daemon's.
     jitter: f64,
     untold: RefCell<BTreeMap<CallIdentity, ToldCircle>>,
@@ -133,7 +133,7 @@
     pub fn new(metrics: Rc<MeshMetrics>, clock: Rc<dyn Clock>) -> Rc<SharedQuarantine> {
         Rc::new(SharedQuarantine {
             table: RefCell::default(),
-            lines: LineBudget::new(clock.now()),
+            log_limiter: LogRateLimiter::new(clock.now()),
             clock,
             metrics,
             jitter: rand::random(),
@@ -223,11 +223,14 @@
     fn say_change(&self, call: CallIdentity, change: MergeOutcome, from: &str) {
         let MergeOutcome { before, now, .. } = change;
         if change.starts_hold() {
-            self.metrics.quarantined("held");
+            self.metrics.record_quarantine_change("held");
             log::warn!("event=call_held call={call} strikes={now} from={from}");
         } else if now > before {
-            self.metrics.quarantined("suspected");
-            if self.lines.takes(LineWeight::Notable, self.clock.now()) {
+            self.metrics.record_quarantine_change("suspected");
+            if self
+                .log_limiter
+                .allows(LinePriority::Notable, self.clock.now())
+            {
                 log::info!("event=call_suspected call={call} strikes={now} from={from}");
             }
         } else if now < before {
@@ -236,8 +239,11 @@
     }
 
     fn say_cleared(&self, call: CallIdentity, strikes: u32, from: &str) {
-        self.metrics.quarantined("cleared");
-        if self.lines.takes(LineWeight::Notable, self.clock.now()) {
+        self.metrics.record_quarantine_change("cleared");
+        if self
+            .log_limiter
+            .allows(LinePriority::Notable, self.clock.now())
+        {
             log::info!("event=call_cleared call={call} strikes={strikes} from={from}");
         }
     }
@@ -288,7 +294,10 @@
     pub fn begin_probe(self: &Rc<Self>, call: CallIdentity) -> ProbePermit {
         self.table.borrow_mut().begin_probe(call, self.clock.now());
         self.tell(call, ToldCircle::All);
-        if self.lines.takes(LineWeight::Notable, self.clock.now()) {
+        if self
+            .log_limiter
+            .allows(LinePriority::Notable, self.clock.now())
+        {
             log::info!("event=call_tried call={call}");
         }
         ProbePermit {
--- a/crates/mesh/src/ready.rs
+++ b/crates/mesh/src/ready.rs
@@ -25,7 +25,7 @@
 
 fn readiness(shared: &MeshShared) -> u16 {
     if shared.stop.is_stopping() {
-        shared.stop.count_miss(shared.clock.now());
+        shared.stop.record_failed_check(shared.clock.now());
         return 503;
     }
     if shared.is_serving() {
--- a/crates/mesh/src/reload.rs
+++ b/crates/mesh/src/reload.rs
@@ -16,7 +16,7 @@
 ///
 /// # Errors
 /// When the signal cannot be watched.
-pub async fn keep_reloaded(shared: Rc<MeshShared>, path: PathBuf) -> std::io::Result<()> {
+pub async fn watch_settings_file(shared: Rc<MeshShared>, path: PathBuf) -> std::io::Result<()> {
     let mut hangup = signal(SignalKind::hangup())?;
     let mut text = std::fs::read_to_string(&path).unwrap_or_default();
     loop {
--- a/crates/mesh/src/rollouts/mod.rs
+++ b/crates/mesh/src/rollouts/mod.rs
@@ -314,7 +314,7 @@
             record.canaries
         );
         self.metrics
-            .rollout(&record.service, stage_label(record.stage));
+            .record_rollout_stage(&record.service, stage_label(record.stage));
         self.stage_changed.notify_one();
         self.has_news.notify_waiters();
         if !record.is_written {
--- a/crates/mesh/src/rollouts/record.rs
+++ b/crates/mesh/src/rollouts/record.rs
@@ -144,7 +144,7 @@
     }
     match end {
         Ok(TransactionOutcome::Committed { version }) => {
-            shared.metrics.store_call("rollout", "answered");
+            shared.metrics.record_store_call("rollout", "answered");
             log::info!(
                 "event=rollout_written service={service} to={} stage={:?} version={version} {}",
                 stored.record.to,
@@ -155,7 +155,7 @@
             true
         }
         Ok(TransactionOutcome::Conflict(rows)) => {
-            shared.metrics.store_call("rollout", "changed");
+            shared.metrics.record_store_call("rollout", "changed");
             log::info!(
                 "event=rollout_row_changed service={service} expected={} found={:?}",
                 entry.row_at,
@@ -168,7 +168,7 @@
             true
         }
         Err(report) => {
-            shared.metrics.store_call("rollout", "failed");
+            shared.metrics.record_store_call("rollout", "failed");
             log::warn!(
                 "event=rollout_unwritten service={service} stage={:?} error=\"{}\"",
                 stored.record.stage,
--- a/crates/mesh/src/rows.rs
+++ b/crates/mesh/src/rows.rs
@@ -215,7 +215,7 @@
         .collect();
     match shared.store.edit_rows(&edits).await {
         Ok(()) => {
-            shared.metrics.store_call("rows", "answered");
+            shared.metrics.record_store_call("rows", "answered");
             for (change, key) in changes.iter().zip(&keys) {
                 shared.members.rows.note_made(change);
                 let is_own = *key == shared.settings.borrow().id;
@@ -234,7 +234,7 @@
             true
         }
         Err(report) => {
-            shared.metrics.store_call("rows", "failed");
+            shared.metrics.record_store_call("rows", "failed");
             log::warn!(
                 "event=rows_unwritten rows={} error=\"{}\"",
                 changes.len(),
--- a/crates/mesh/src/serve_peers.rs
+++ b/crates/mesh/src/serve_peers.rs
@@ -18,7 +18,7 @@
 use crate::messages::{encode, take, CallHead, ReplyHead};
 use crate::sockets;
 use crate::state::MeshShared;
-use crate::stop::CallMark;
+use crate::stop::ActiveCallGuard;
 use news::{news_path, serve_news};
 
 /// Streams that one other daemon may have open.
@@ -87,7 +87,7 @@
     request: Request<RecvStream>,
     mut respond: SendResponse<Bytes>,
 ) -> Result<(), LinkError> {
-    let _mark = CallMark::new(&shared);
+    let _mark = ActiveCallGuard::new(&shared);
     let mut incoming = request.into_body();
     let mut buffer = BytesMut::new();
     let call: CallHead = loop {
--- a/crates/mesh/src/settings.rs
+++ b/crates/mesh/src/settings.rs
@@ -337,7 +337,7 @@
 
     /// What placement charges for leaving the zone.
     #[must_use]
-    pub fn crossing_cost(&self) -> CrossZoneCost {
+    pub fn cross_zone_cost(&self) -> CrossZoneCost {
         CrossZoneCost {
             base: self.crossing.base,
             per_kib: self.crossing.per_kib,
--- a/crates/mesh/src/shell.rs
+++ b/crates/mesh/src/shell.rs
@@ -19,7 +19,7 @@
 
 use crate::egress::EgressPacer;
 use crate::gate::Gate;
-use crate::logging::LineBudget;
+use crate::logging::LogRateLimiter;
 use crate::members::MemberBook;
 use crate::metrics::MeshMetrics;
 use crate::organisations::OrganisationDesk;
@@ -102,7 +102,7 @@
     local
         .run_until(async move {
             start(&shared, listeners, path);
-            stop::see_through(shared)
+            stop::drain_on_signal(shared)
                 .await
                 .change_context(MeshError::Signals)
         })
@@ -127,7 +127,7 @@
     let organisations = OrganisationDesk::new(&settings, Rc::clone(&clock));
     Rc::new(MeshShared {
         store: StoreClient::new(&settings.store, STORE_TIMEOUT, Arc::new(SystemClock)),
-        budget: RefCell::new(RetryBudget::new(settings.retry_budget_limits(), now)),
+        retry_budget: RefCell::new(RetryBudget::new(settings.retry_budget_limits(), now)),
         settings: RefCell::new(Rc::new(settings)),
         versions: VersionBook::default(),
         members: MemberBook::default(),
@@ -137,10 +137,10 @@
         quarantine,
         rollouts,
         organisations,
-        dealer: RefCell::new(WeightedRoundRobin::default()),
+        weighted_round_robin: RefCell::new(WeightedRoundRobin::default()),
         routes: RefCell::new(HashMap::new()),
         metrics,
-        lines: LineBudget::new(now),
+        log_limiter: LogRateLimiter::new(now),
         store_returned: tokio::sync::Notify::new(),
         store_era: Cell::new(None),
         stop: StopState::default(),
@@ -164,7 +164,7 @@
         listeners.peers,
     )));
     spawn(Box::pin(Rc::clone(&shared.gate).keep_settled()));
-    spawn(Box::pin(status::keep_told(Rc::clone(shared))));
+    spawn(Box::pin(status::send_updates(Rc::clone(shared))));
     spawn(Box::pin(quarantine::keep_told(Rc::clone(shared))));
     spawn(Box::pin(rollouts::spread::keep_told(Rc::clone(shared))));
     spawn(Box::pin(rollouts::spread::keep_gate(Rc::clone(shared))));
@@ -185,7 +185,7 @@
     }
     let shared = Rc::clone(shared);
     spawn(Box::pin(async move {
-        if let Err(error) = reload::keep_reloaded(shared, path).await {
+        if let Err(error) = reload::watch_settings_file(shared, path).await {
             log::error!("event=reload_unwatched error=\"{error}\"");
         }
     }));
--- a/crates/mesh/src/state.rs
+++ b/crates/mesh/src/state.rs
@@ -18,10 +18,10 @@
 
 use crate::egress::EgressPacer;
 use crate::gate::Gate;
-use crate::logging::LineBudget;
+use crate::logging::LogRateLimiter;
 use crate::members::MemberBook;
 use crate::messages::PeerAddress;
-use crate::metrics::{CrossingCause, MeshMetrics};
+use crate::metrics::{CrossZoneCause, MeshMetrics};
 use crate::organisations::OrganisationDesk;
 use crate::peers::{Peer, PeerBook};
 use crate::quarantine::SharedQuarantine;
@@ -69,15 +69,15 @@
     /// Organisations, their keys and what they may run.
     pub organisations: Rc<OrganisationDesk>,
     /// What may be sent a second time.
-    pub budget: RefCell<RetryBudget>,
+    pub retry_budget: RefCell<RetryBudget>,
     /// Deals split routes' calls.
-    pub dealer: RefCell<WeightedRoundRobin>,
+    pub weighted_round_robin: RefCell<WeightedRoundRobin>,
     /// What was learnt of each route's calls, by route name.
     pub routes: RefCell<HashMap<String, RouteHistory>>,
     /// Counters and histograms.
     pub metrics: Rc<MeshMetrics>,
     /// Bounds the lines on calls.
-    pub lines: LineBudget,
+    pub log_limiter: LogRateLimiter,
     /// Wakes the feed of the members when the store is back.
     pub store_returned: Notify,
     /// How often the store had come back from an older copy, by what this daemon
@@ -109,7 +109,7 @@
     /// Takes note of the store's era. In a new one, what was written since the
     /// older copy is gone: what lies in rows of ours is taken for unwritten, and
     /// written again as it is found missing.
-    pub fn note_era(&self, era: u64) {
+    pub fn handle_store_era(&self, era: u64) {
         let before = self.store_era.replace(Some(era));
         if before.is_none_or(|before| before == era) {
             return;
@@ -130,21 +130,21 @@
     }
 
     /// Counts bytes over the link to `peer`, if it crosses into another zone.
-    pub fn count_crossing(&self, peer: &Peer, cause: CrossingCause, bytes: usize) {
+    pub fn count_cross_zone_bytes(&self, peer: &Peer, cause: CrossZoneCause, bytes: usize) {
         if peer.address.zone != self.settings.borrow().zone {
-            self.metrics.crossed(cause, bytes);
+            self.metrics.record_cross_zone_bytes(cause, bytes);
         }
     }
 
     /// Daemons that share the retry budget, this one included.
     #[must_use]
-    pub fn daemons(&self) -> usize {
+    pub fn daemon_count(&self) -> usize {
         self.members.count()
     }
 
     /// Notes how long a client of `route` waits, and gives the time that has
     /// likely passed since its first try.
-    pub fn note_wait(&self, route: &str, wait: Duration) -> Duration {
+    pub fn record_client_timeout(&self, route: &str, wait: Duration) -> Duration {
         self.with_history(route, |history| history.client_timeouts.record(wait))
     }
 
@@ -157,7 +157,7 @@
     }
 
     /// Notes the size of an answer on `route`, and the time of its run.
-    pub fn note_answer(&self, route: &str, bytes: u64, ran: Duration) {
+    pub fn record_answer(&self, route: &str, bytes: u64, ran: Duration) {
         let kib = f64::from(u32::try_from(bytes).unwrap_or(u32::MAX)) / 1024.0;
         self.with_history(route, |history| {
             if history.answer_kib == 0.0 {
@@ -171,7 +171,7 @@
 
     /// Usual size of an answer on `route`, in bytes; 0 before the first.
     #[must_use]
-    pub fn usual_answer(&self, route: &str) -> u64 {
+    pub fn average_answer_bytes(&self, route: &str) -> u64 {
         let kib = self
             .routes
             .borrow()
--- a/crates/mesh/src/status.rs
+++ b/crates/mesh/src/status.rs
@@ -26,7 +26,7 @@
 const FAR_PACE_CHANGE: f64 = 0.3;
 
 /// Describes the target to the peers. Runs for ever.
-pub async fn keep_told(shared: Rc<MeshShared>) {
+pub async fn send_updates(shared: Rc<MeshShared>) {
     let mut near: Option<TargetStatus> = None;
     let mut far: Option<TargetStatus> = None;
     loop {
--- a/crates/mesh/src/stop.rs
+++ b/crates/mesh/src/stop.rs
@@ -47,9 +47,9 @@
     last_miss: Cell<Option<Instant>>,
     calls: Cell<u32>,
     last_call: Cell<Option<Instant>>,
-    ends_by: Cell<Option<Instant>>,
+    exit_deadline: Cell<Option<Instant>>,
     /// Wakes connections when the phase changes.
-    pub changed: Notify,
+    pub phase_changed: Notify,
 }
 
 /// Counts a call, of a client or of another daemon, from when it is taken until
@@ -58,23 +58,23 @@
 /// Guards against stops that cut an answer whose run is over: it still leaves
 /// over a slow link, read ahead of its taker, while nothing is in work at the
 /// target any more.
-pub struct CallMark {
+pub struct ActiveCallGuard {
     shared: Rc<MeshShared>,
 }
 
-impl CallMark {
+impl ActiveCallGuard {
     /// Counts a call from now on.
     #[must_use]
-    pub fn new(shared: &Rc<MeshShared>) -> CallMark {
+    pub fn new(shared: &Rc<MeshShared>) -> ActiveCallGuard {
         let stop = &shared.stop;
         stop.calls.set(stop.calls.get() + 1);
-        CallMark {
+        ActiveCallGuard {
             shared: Rc::clone(shared),
         }
     }
 }
 
-impl Drop for CallMark {
+impl Drop for ActiveCallGuard {
     fn drop(&mut self) {
         let stop = &self.shared.stop;
         stop.calls.set(stop.calls.get().saturating_sub(1));
@@ -98,12 +98,12 @@
     /// When the process ends at the latest, while a stop is under way: a call
     /// taken now has no more time than that, whatever its client would wait.
     #[must_use]
-    pub fn ends_by(&self) -> Option<Instant> {
-        self.ends_by.get()
+    pub fn exit_deadline(&self) -> Option<Instant> {
+        self.exit_deadline.get()
     }
 
     /// Counts a readiness check that was answered with "no" during the stop.
-    pub fn count_miss(&self, now: Instant) {
+    pub fn record_failed_check(&self, now: Instant) {
         self.misses.set(self.misses.get() + 1);
         self.last_miss.set(Some(now));
     }
@@ -114,7 +114,7 @@
 ///
 /// # Errors
 /// When the signal cannot be watched.
-pub async fn see_through(shared: Rc<MeshShared>) -> std::io::Result<()> {
+pub async fn drain_on_signal(shared: Rc<MeshShared>) -> std::io::Result<()> {
     let mut ordered = signal(SignalKind::terminate())?;
     let mut interrupted = signal(SignalKind::interrupt())?;
     tokio::select! {
@@ -127,14 +127,14 @@
     let stop = &shared.stop;
     log::info!("event=stop_ordered calls={}", stop.calls.get());
     let last = began + grace.saturating_sub(LAST_MARGIN);
-    stop.ends_by.set(Some(last));
+    stop.exit_deadline.set(Some(last));
     stop.phase.set(StopPhase::Leaving);
     while !may_close(stop, clock.now(), began, grace) {
         tokio::time::sleep(CHECK_EVERY).await;
     }
     stop.phase.set(StopPhase::Closing);
     shared.gate.stop();
-    stop.changed.notify_waiters();
+    stop.phase_changed.notify_waiters();
     log::info!(
         "event=stop_closing misses={} calls={} at_target={}",
         stop.misses.get(),
