--- a/crates/mesh/src/logging.rs
+++ b/crates/mesh/src/logging.rs
@@ -1,9 +1,9 @@
-//! Logs: one `key=value` line per decision on a call or change of belief, on
-//! standard output.
+//! Logging to standard output, in lines of `key=value` pairs: one line for each
+//! decision on a call and for each change in the daemon's view of the fleet.
 //!
-//! Writing never blocks the daemon: lines go into a bounded buffer that a
-//! thread empties. What does not fit, and what the [`LogRateLimiter`] holds back,
-//! is counted and the count logged.
+//! Logging never blocks the daemon: lines go into a bounded buffer, and a separate
+//! thread writes them. Lines that do not fit into the buffer and lines that the
+//! [`LogRateLimiter`] suppresses are counted, and their number is logged.
 
 use std::cell::RefCell;
 use std::io::Write;
@@ -13,24 +13,30 @@
 use flexi_logger::writers::LogWriter;
 use flexi_logger::{DeferredNow, LogSpecification, Logger, LoggerHandle};
 
-/// Libraries whose own lines say nothing about the daemon's decisions.
-const LIBRARY_LEVELS: &str = "h2=warn,hyper=warn,reqwest=warn,hyper_util=warn,rocket=error,_=error";
-/// Most bytes that wait for the writer: some seconds of lines at the budget's
-/// rates, small against the memory a host has for the daemon.
-const MOST_WAITING: usize = 256 * 1024;
-/// Pause in which lines gather before they are written together. Each write
-/// costs a wake-up and a system call.
-const GATHER: Duration = Duration::from_millis(100);
-/// How long a planned stop waits for the last lines to leave.
-const FLUSH_WITHIN: Duration = Duration::from_millis(200);
+/// Log levels of libraries, whose lines say nothing about the daemon's decisions.
+const LIBRARY_LOG_LEVELS: &str =
+    "h2=warn,hyper=warn,reqwest=warn,hyper_util=warn,rocket=error,_=error";
+/// Upper limit of the log buffer, in bytes: some seconds of lines at the rates of
+/// the [`LogRateLimiter`], and little of the memory that a host has for the daemon.
+const MAX_BUFFERED_BYTES: usize = 256 * 1024;
+/// Time for which lines are collected before they are written in one batch, because
+/// each write costs a wake-up and a system call.
+const BATCH_DELAY: Duration = Duration::from_millis(100);
+/// Longest time that a flush, as at a planned stop, waits for the last lines to be
+/// written.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
+/// Lines that are not written yet.
 #[derive(Default)]
 struct BufferState {
     lines: Vec<u8>,
+    /// Number of lines that did not fit since the last batch.
     dropped: u64,
+    /// Whether the writer thread is writing a batch.
     is_writing: bool,
 }
 
+/// Bounded buffer between the daemon and the thread that writes its log.
 #[derive(Default)]
 struct LineBuffer {
     state: Mutex<BufferState>,
@@ -40,14 +46,14 @@
 
 impl LineBuffer {
     fn state(&self) -> MutexGuard<'_, BufferState> {
-        // The state is whole after each operation, so a poisoned lock is
-        // still usable.
+        // The state is consistent after each operation, so it can be used even if
+        // the lock is poisoned.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn push(&self, line: &[u8]) {
         let mut state = self.state();
-        if state.lines.len() + line.len() >= MOST_WAITING {
+        if state.lines.len() + line.len() >= MAX_BUFFERED_BYTES {
             state.dropped += 1;
             return;
         }
@@ -59,9 +65,9 @@
         }
     }
 
-    /// Writes what comes in, for ever. A reader that stalls stalls this
-    /// thread only.
-    fn empty_into(&self, mut out: impl Write) {
+    /// Writes buffered lines to `out`. Never returns. If the reader of `out` stalls,
+    /// only this thread blocks.
+    fn write_to(&self, mut out: impl Write) {
         loop {
             let mut state = self.state();
             while state.lines.is_empty() {
@@ -71,7 +77,7 @@
                     .unwrap_or_else(PoisonError::into_inner);
             }
             drop(state);
-            std::thread::sleep(GATHER);
+            std::thread::sleep(BATCH_DELAY);
             let mut state = self.state();
             let mut lines = std::mem::take(&mut state.lines);
             let dropped = std::mem::take(&mut state.dropped);
@@ -85,24 +91,25 @@
                     .as_bytes(),
                 );
             }
-            // With nobody left to read, there is nobody to tell either.
+            // If the output is closed, the error cannot be reported either.
             let _ = out.write_all(&lines).and_then(|()| out.flush());
             self.state().is_writing = false;
             self.emptied.notify_all();
         }
     }
 
-    fn wait_emptied(&self) {
-        let until = Instant::now() + FLUSH_WITHIN;
+    /// Waits until all lines are written, for at most [`FLUSH_TIMEOUT`].
+    fn wait_until_empty(&self) {
+        let deadline = Instant::now() + FLUSH_TIMEOUT;
         let mut state = self.state();
         while !state.lines.is_empty() || state.is_writing {
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return;
             }
             state = self
                 .emptied
-                .wait_timeout(state, left)
+                .wait_timeout(state, remaining)
                 .unwrap_or_else(PoisonError::into_inner)
                 .0;
         }
@@ -116,35 +123,36 @@
 impl LogWriter for BufferWriter {
     fn write(&self, now: &mut DeferredNow, record: &log::Record<'_>) -> std::io::Result<()> {
         let mut line = Vec::with_capacity(256);
-        line_format(&mut line, now, record)?;
+        format_line(&mut line, now, record)?;
         self.buffer.push(&line);
         Ok(())
     }
 
     fn flush(&self) -> std::io::Result<()> {
-        self.buffer.wait_emptied();
+        self.buffer.wait_until_empty();
         Ok(())
     }
 }
 
-/// Starts logging at `spec` (such as `info`), overridable with `RUST_LOG`.
-/// Returns `None` when a logger was already set, as in tests.
+/// Starts logging at the levels in `spec` (such as `info`) or, if set, in `RUST_LOG`.
+/// Returns `None` if the logger cannot be started, for example because one is set
+/// already, as in tests.
 #[must_use]
 pub fn start(spec: &str) -> Option<LoggerHandle> {
     let buffer = Arc::new(LineBuffer::default());
-    let emptied = Arc::clone(&buffer);
+    let writer_buffer = Arc::clone(&buffer);
     std::thread::Builder::new()
         .name("log".to_owned())
-        .spawn(move || emptied.empty_into(std::io::stdout()))
+        .spawn(move || writer_buffer.write_to(std::io::stdout()))
         .ok()?;
-    let levels = LogSpecification::env_or_parse(format!("{spec},{LIBRARY_LEVELS}")).ok()?;
+    let levels = LogSpecification::env_or_parse(format!("{spec},{LIBRARY_LOG_LEVELS}")).ok()?;
     Logger::with(levels)
         .log_to_writer(Box::new(BufferWriter { buffer }))
         .start()
         .ok()
 }
 
-fn line_format(
+fn format_line(
     writer: &mut dyn std::io::Write,
     now: &mut DeferredNow,
     record: &log::Record<'_>,
@@ -158,69 +166,82 @@
     )
 }
 
-/// How much a line on a call matters.
+/// Priority of a log line about a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinePriority {
-    /// An ordinary success: a sample is enough.
+    /// A call that succeeded in time, at its first attempt. A sample of these lines
+    /// is enough.
     Ordinary,
-    /// A call that failed, was refused, late or sent again.
+    /// A call that failed, was refused, was late or was retried.
     Notable,
 }
 
-/// Lines a second on ordinary calls. A sample for comparison.
-const ORDINARY_RATE: f64 = 5.0;
-/// Lines a second on notable calls: an overload refuses hundreds of calls a
-/// second on a host, and the first of them tell as much as all.
-const NOTABLE_RATE: f64 = 100.0;
-/// Seconds of unused rate that may be spent at once.
-const BURST: f64 = 2.0;
-/// How often the counts of held-back lines are logged.
-const TELL_EVERY: Duration = Duration::from_secs(1);
+/// Limit of [`LinePriority::Ordinary`] lines per second: a sample to compare notable
+/// calls with.
+const ORDINARY_LINES_PER_S: f64 = 5.0;
+/// Limit of [`LinePriority::Notable`] lines per second. In an overload, a host
+/// refuses hundreds of calls per second, and the first of their lines tell as much as
+/// all of them.
+const NOTABLE_LINES_PER_S: f64 = 100.0;
+/// Capacity of a token bucket, in seconds at its rate.
+const BURST_S: f64 = 2.0;
+/// Shortest time between two reports of the number of suppressed lines.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
+/// Token buckets of the [`LogRateLimiter`].
 #[derive(Debug)]
-struct BudgetState {
+struct LimiterState {
+    /// Tokens for [`LinePriority::Ordinary`] lines.
     ordinary: f64,
+    /// Tokens for [`LinePriority::Notable`] lines.
     notable: f64,
-    refilled: Instant,
-    told: Instant,
-    held_back: (u64, u64),
+    refilled_at: Instant,
+    reported_at: Instant,
+    /// Number of ordinary and of notable lines suppressed since the last report.
+    suppressed: (u64, u64),
 }
 
-/// Bounds the lines on calls by weight; lines on beliefs are not bounded, as
-/// they are few by nature.
+/// Limits the rate of log lines about calls, by their priority. Lines about changes in
+/// the daemon's view of the fleet are not limited, because they are rare.
 #[derive(Debug)]
 pub struct LogRateLimiter {
-    state: RefCell<BudgetState>,
+    state: RefCell<LimiterState>,
 }
 
 impl LogRateLimiter {
-    /// A full budget.
+    /// Creates a limiter that allows one second of ordinary lines and a full burst of
+    /// notable ones.
     #[must_use]
     pub fn new(now: Instant) -> LogRateLimiter {
         LogRateLimiter {
-            state: RefCell::new(BudgetState {
-                ordinary: ORDINARY_RATE,
-                notable: NOTABLE_RATE * BURST,
-                refilled: now,
-                told: now,
-                held_back: (0, 0),
+            state: RefCell::new(LimiterState {
+                ordinary: ORDINARY_LINES_PER_S,
+                notable: NOTABLE_LINES_PER_S * BURST_S,
+                refilled_at: now,
+                reported_at: now,
+                suppressed: (0, 0),
             }),
         }
     }
 
-    /// Whether a line may be written now.
-    pub fn allows(&self, weight: LinePriority, now: Instant) -> bool {
+    /// Returns whether a line of this priority may be written now, and takes a token for
+    /// it if so. Also logs the number of suppressed lines when a report is due.
+    pub fn allows(&self, priority: LinePriority, now: Instant) -> bool {
         let mut state = self.state.borrow_mut();
-        let passed = now.saturating_duration_since(state.refilled).as_secs_f64();
-        state.refilled = now;
-        state.ordinary = (state.ordinary + passed * ORDINARY_RATE).min(ORDINARY_RATE * BURST);
-        state.notable = (state.notable + passed * NOTABLE_RATE).min(NOTABLE_RATE * BURST);
-        if now >= state.told + TELL_EVERY && state.held_back != (0, 0) {
-            let (ordinary, notable) = std::mem::take(&mut state.held_back);
-            state.told = now;
+        let elapsed = now
+            .saturating_duration_since(state.refilled_at)
+            .as_secs_f64();
+        state.refilled_at = now;
+        state.ordinary =
+            (state.ordinary + elapsed * ORDINARY_LINES_PER_S).min(ORDINARY_LINES_PER_S * BURST_S);
+        state.notable =
+            (state.notable + elapsed * NOTABLE_LINES_PER_S).min(NOTABLE_LINES_PER_S * BURST_S);
+        if now >= state.reported_at + MIN_REPORT_INTERVAL && state.suppressed != (0, 0) {
+            let (ordinary, notable) = std::mem::take(&mut state.suppressed);
+            state.reported_at = now;
             log::info!("event=lines_held_back ordinary={ordinary} notable={notable}");
         }
-        let tokens = match weight {
+        let tokens = match priority {
             LinePriority::Ordinary => &mut state.ordinary,
             LinePriority::Notable => &mut state.notable,
         };
@@ -228,9 +249,9 @@
             *tokens -= 1.0;
             return true;
         }
-        match weight {
-            LinePriority::Ordinary => state.held_back.0 += 1,
-            LinePriority::Notable => state.held_back.1 += 1,
+        match priority {
+            LinePriority::Ordinary => state.suppressed.0 += 1,
+            LinePriority::Notable => state.suppressed.1 += 1,
         }
         false
     }
--- a/crates/mesh/src/metrics.rs
+++ b/crates/mesh/src/metrics.rs
@@ -1,5 +1,5 @@
-//! Counters and latency histograms, kept with `opentelemetry` and served as
-//! text in the Prometheus format.
+//! Metrics of the daemon: counters, gauges and latency histograms of `opentelemetry`,
+//! served in the Prometheus text format.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,34 +13,35 @@
 use crate::small_server::{accept_for_ever, serve_requests, SmallAnswer};
 use crate::state::MeshShared;
 
-/// Upper bounds of the latency histograms, in seconds: the aims of calls lie
-/// between 0.1 and 1.
+/// Upper bounds of the buckets of the latency histograms, in seconds. The soft
+/// deadlines of calls are between 0.1 and 1 s.
 const LATENCY_BOUNDS: [f64; 10] = [0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4];
 
-/// What bytes on a link to another availability zone are for.
+/// Kinds of traffic on links to other availability zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrossZoneCause {
-    /// A call and its body.
+    /// Calls and their bodies.
     Call,
-    /// An answer and its body.
+    /// Answers and their bodies.
     Answer,
-    /// Word that a call was not run, or may have been.
+    /// Replies without an answer: the call was not run, or may have been run.
     Refusal,
-    /// How busy a target is.
+    /// State and load of targets.
     Load,
-    /// Versions of the configuration, and asking for them.
+    /// Versions of the configuration, and requests for them.
     Version,
-    /// Which hosts there are, and who follows the store.
+    /// Members of the fleet, and which daemons follow the store.
     Member,
-    /// Which calls were at work as targets ended.
+    /// Calls that were in progress when a target ended.
     Suspect,
-    /// How far roll-outs are, and what gates counted.
+    /// Records of roll-outs, and the runs that gates counted for them.
     Rollout,
-    /// What organisations may run.
+    /// Quotas of organisations: requests for tokens and grants of them.
     Token,
 }
 
 impl CrossZoneCause {
+    /// Value of the metric label `cause`.
     fn label(self) -> &'static str {
         match self {
             CrossZoneCause::Call => "call",
@@ -56,58 +57,61 @@
     }
 }
 
-/// Every instrument of the daemon.
+/// All metric instruments of the daemon, and the registry that holds them.
 pub struct MeshMetrics {
     registry: Registry,
     _provider: SdkMeterProvider,
     calls: Counter<u64>,
     call_time: Histogram<f64>,
     attempts: Counter<u64>,
-    gate: Counter<u64>,
+    gate_calls: Counter<u64>,
     gate_wait: Histogram<f64>,
     run_time: Histogram<f64>,
     store_calls: Counter<u64>,
-    zone_bytes: Counter<u64>,
-    quarantined: Counter<u64>,
-    held: Gauge<u64>,
-    rollouts: Counter<u64>,
-    keyed: Counter<u64>,
+    cross_zone_bytes: Counter<u64>,
+    quarantine_changes: Counter<u64>,
+    held_calls: Gauge<u64>,
+    rollout_stages: Counter<u64>,
+    key_checks: Counter<u64>,
     version: Gauge<u64>,
     running: Gauge<u64>,
     waiting: Gauge<u64>,
     failure_rate: Gauge<f64>,
     links: Gauge<u64>,
     peers: Gauge<u64>,
-    memory: Gauge<u64>,
+    memory_bytes: Gauge<u64>,
 }
 
 impl MeshMetrics {
     /// Creates the instruments in a registry of their own.
     ///
     /// # Panics
-    /// Never: the registry is new, so no name is taken.
+    /// Never: registering fails only for a name that is in use, and the registry is new.
     #[must_use]
     pub fn new() -> MeshMetrics {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
             .with_registry(registry.clone())
             .build()
-            .expect("a new registry takes every name");
+            .expect("a new registry accepts every name");
         let provider = SdkMeterProvider::builder().with_reader(exporter).build();
         let meter = provider.meter("filbertd");
-        let counter = |name: &'static str, text: &'static str| {
-            meter.u64_counter(name).with_description(text).build()
+        let counter = |name: &'static str, description: &'static str| {
+            meter
+                .u64_counter(name)
+                .with_description(description)
+                .build()
         };
-        let latency = |name: &'static str, text: &'static str| {
+        let latency = |name: &'static str, description: &'static str| {
             meter
                 .f64_histogram(name)
                 .with_unit("s")
-                .with_description(text)
+                .with_description(description)
                 .with_boundaries(LATENCY_BOUNDS.to_vec())
                 .build()
         };
-        let gauge = |name: &'static str, text: &'static str| {
-            meter.u64_gauge(name).with_description(text).build()
+        let gauge = |name: &'static str, description: &'static str| {
+            meter.u64_gauge(name).with_description(description).build()
         };
         MeshMetrics {
             calls: counter("filbert.calls", "Calls of clients, by service and outcome"),
@@ -116,7 +120,7 @@
                 "filbert.attempts",
                 "Attempts at targets, by service and ending",
             ),
-            gate: counter("filbert.gate.calls", "Calls at the gate, by verdict"),
+            gate_calls: counter("filbert.gate.calls", "Calls at the gate, by verdict"),
             gate_wait: latency("filbert.gate.wait", "Time that calls waited at the gate"),
             run_time: latency(
                 "filbert.gate.run",
@@ -126,20 +130,20 @@
                 "filbert.store.calls",
                 "Calls to the store, by subject and outcome",
             ),
-            zone_bytes: counter(
+            cross_zone_bytes: counter(
                 "filbert.zone.bytes",
                 "Bytes over own links to other availability zones, by cause",
             ),
-            rollouts: counter("filbert.rollouts", "Stages of roll-outs, by service"),
-            keyed: counter(
+            rollout_stages: counter("filbert.rollouts", "Stages of roll-outs, by service"),
+            key_checks: counter(
                 "filbert.keyed.calls",
                 "Calls that need a key, by what became of it",
             ),
-            quarantined: counter(
+            quarantine_changes: counter(
                 "filbert.quarantine.changes",
                 "Calls suspected, held back, refused and cleared",
             ),
-            held: gauge("filbert.quarantine.held", "Calls held back now"),
+            held_calls: gauge("filbert.quarantine.held", "Calls held back now"),
             version: gauge("filbert.version", "The version in force"),
             running: gauge("filbert.gate.running", "Calls at the target"),
             waiting: gauge("filbert.gate.waiting", "Calls that wait for the target"),
@@ -149,7 +153,7 @@
                 .build(),
             links: gauge("filbert.links", "Links to other daemons that are up"),
             peers: gauge("filbert.peers", "Other daemons known"),
-            memory: meter
+            memory_bytes: meter
                 .u64_gauge("process.resident_memory")
                 .with_unit("By")
                 .with_description("Resident memory")
@@ -159,7 +163,7 @@
         }
     }
 
-    /// Counts the end of a client's call.
+    /// Counts a client's call that ended with `outcome`, and records how long it took.
     pub fn record_call(&self, service: &str, outcome: &'static str, took: Duration) {
         let labels = [
             KeyValue::new("service", service.to_owned()),
@@ -169,7 +173,7 @@
         self.call_time.record(took.as_secs_f64(), &labels[..1]);
     }
 
-    /// Counts the end of an attempt at a target.
+    /// Counts an attempt that ended at a target of `service` with `end`.
     pub fn record_attempt(&self, service: &str, end: &'static str) {
         self.attempts.add(
             1,
@@ -180,27 +184,28 @@
         );
     }
 
-    /// Counts a stage of the roll-out of `service`.
+    /// Counts that the roll-out of `service` entered `stage`.
     pub fn record_rollout_stage(&self, service: &str, stage: &'static str) {
         let labels = [
             KeyValue::new("service", service.to_owned()),
             KeyValue::new("stage", stage),
         ];
-        self.rollouts.add(1, &labels);
+        self.rollout_stages.add(1, &labels);
     }
 
-    /// Counts what became of a call at the gate.
+    /// Counts a call at the gate, by what the gate decided or how the run ended.
     pub fn record_gate_verdict(&self, verdict: &'static str) {
-        self.gate.add(1, &[KeyValue::new("verdict", verdict)]);
+        self.gate_calls.add(1, &[KeyValue::new("verdict", verdict)]);
     }
 
-    /// Counts a run: how long its call waited, and how long it took.
+    /// Records how long a call waited at the gate, and the time from sending it to the
+    /// target until the head of the answer.
     pub fn record_run(&self, waited: Duration, took: Duration) {
         self.gate_wait.record(waited.as_secs_f64(), &[]);
         self.run_time.record(took.as_secs_f64(), &[]);
     }
 
-    /// Counts a call to the store.
+    /// Counts a call to the store, by its subject and outcome.
     pub fn record_store_call(&self, subject: &'static str, outcome: &'static str) {
         self.store_calls.add(
             1,
@@ -211,35 +216,38 @@
         );
     }
 
-    /// Counts bytes, without those of the transport, that went to another
-    /// availability zone or came from there over a link that this daemon opened.
+    /// Counts bytes sent to or received from another availability zone over a link that
+    /// this daemon opened, without the overhead of the transport.
     pub fn record_cross_zone_bytes(&self, cause: CrossZoneCause, bytes: usize) {
         let labels = [KeyValue::new("cause", cause.label())];
-        self.zone_bytes.add(bytes as u64, &labels);
+        self.cross_zone_bytes.add(bytes as u64, &labels);
     }
 
-    /// Counts what became of a call that was at work as targets ended.
+    /// Counts a change in the quarantine of a call that was in progress when targets
+    /// ended.
     pub fn record_quarantine_change(&self, change: &'static str) {
-        self.quarantined.add(1, &[KeyValue::new("change", change)]);
+        self.quarantine_changes
+            .add(1, &[KeyValue::new("change", change)]);
     }
 
-    /// Counts a call that needs a key.
+    /// Counts a call that needs an API key, by the verdict on the key.
     pub fn record_key_check(&self, verdict: &'static str) {
-        self.keyed.add(1, &[KeyValue::new("verdict", verdict)]);
+        self.key_checks.add(1, &[KeyValue::new("verdict", verdict)]);
     }
 
-    fn text(&self, shared: &MeshShared) -> String {
+    /// Updates the gauges and returns all metrics in the Prometheus text format.
+    fn render(&self, shared: &MeshShared) -> String {
         self.version.record(shared.versions.number(), &[]);
         self.links.record(shared.peers.linked() as u64, &[]);
         self.peers.record((shared.members.count() - 1) as u64, &[]);
-        self.held.record(shared.quarantine.held() as u64, &[]);
+        self.held_calls.record(shared.quarantine.held() as u64, &[]);
         if let Some(status) = shared.gate.status() {
             self.running.record(u64::from(status.load.running), &[]);
             self.waiting.record(u64::from(status.load.waiting), &[]);
             self.failure_rate.record(status.load.failure_rate, &[]);
         }
-        if let Some(bytes) = resident_memory() {
-            self.memory.record(bytes, &[]);
+        if let Some(bytes) = resident_memory_bytes() {
+            self.memory_bytes.record(bytes, &[]);
         }
         let mut out = Vec::new();
         if let Err(error) = TextEncoder::new().encode(&self.registry.gather(), &mut out) {
@@ -255,23 +263,25 @@
     }
 }
 
-/// Resident memory in bytes, where the system tells it.
-fn resident_memory() -> Option<u64> {
-    /// Bytes of a page on the hosts that the daemon runs on.
-    const PAGE: u64 = 4096;
+/// Returns the resident memory of the process in bytes; `None` if `/proc` does not
+/// state it.
+fn resident_memory_bytes() -> Option<u64> {
+    /// Size of a memory page on the hosts that the daemon runs on.
+    const PAGE_BYTES: u64 = 4096;
     let statm = std::fs::read_to_string("/proc/self/statm").ok()?;
     let pages: u64 = statm.split_whitespace().nth(1)?.parse().ok()?;
-    Some(pages * PAGE)
+    Some(pages * PAGE_BYTES)
 }
 
-/// Serves the metrics until the process ends.
+/// Serves the metrics to every connection that `listener` accepts. Runs until the
+/// process ends.
 pub async fn serve(shared: Rc<MeshShared>, listener: TcpListener) {
     accept_for_ever("metrics", listener, |stream| {
         let shared = Rc::clone(&shared);
         serve_requests(stream, move |_, _| SmallAnswer {
             status: 200,
             content_type: "text/plain; version=0.0.4",
-            body: shared.metrics.text(&shared),
+            body: shared.metrics.render(&shared),
         })
     })
     .await;
