--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -1,13 +1,15 @@
-//! The daemon on the users' platform.
+//! The mesh daemon, which runs on each host of the platform, beside its target.
 //!
-//! A call crosses two daemons. The one on the caller's host ([`ingress`],
-//! [`calls`]) routes it, picks a target's host and answers for it. The one on
-//! the target's host ([`gate`], [`target`]) is the only way to that target
-//! and decides what runs, waits or is declined. [`links`] join the daemons, and
-//! [`asking`] gets versions over them; [`feeds`] bring configuration and
-//! membership from the store; [`control`] hears the target beside the daemon;
-//! [`stop`] sees a planned stop through. [`rollouts`] moves services to other
-//! software versions, [`organisations`] tells whose a call is and whether it may run.
+//! A call passes through two daemons. The daemon on the caller's host ([`ingress`],
+//! [`calls`]) routes the call, picks the host of a target and returns the answer to the
+//! caller. The daemon on the target's host ([`gate`], [`target`]) is the only one that
+//! sends calls to this target, and decides which calls run, wait or are declined.
+//!
+//! [`links`] connect the daemons, and [`asking`] fetches versions of the configuration
+//! over them. [`feeds`] read the configuration and the members of the fleet from the
+//! store. [`control`] receives the reports of the target on the host. [`rollouts`] moves
+//! services to other software versions. [`organisations`] checks API keys and quotas.
+//! [`stop`] performs a planned stop.
 
 pub mod asking;
 pub mod body;
--- a/crates/mesh/src/logging.rs
+++ b/crates/mesh/src/logging.rs
@@ -14,8 +14,7 @@
 use flexi_logger::{DeferredNow, LogSpecification, Logger, LoggerHandle};
 
 /// Log levels of libraries, whose lines say nothing about the daemon's decisions.
-const LIBRARY_LOG_LEVELS: &str =
-    "h2=warn,hyper=warn,reqwest=warn,hyper_util=warn,rocket=error,_=error";
+const LIBRARY_LEVELS: &str = "h2=warn,hyper=warn,reqwest=warn,hyper_util=warn,rocket=error,_=error";
 /// Upper limit of the log buffer, in bytes: some seconds of lines at the rates of
 /// the [`LogRateLimiter`], and little of the memory that a host has for the daemon.
 const MAX_BUFFERED_BYTES: usize = 256 * 1024;
@@ -145,7 +144,7 @@
         .name("log".to_owned())
         .spawn(move || writer_buffer.write_to(std::io::stdout()))
         .ok()?;
-    let levels = LogSpecification::env_or_parse(format!("{spec},{LIBRARY_LOG_LEVELS}")).ok()?;
+    let levels = LogSpecification::env_or_parse(format!("{spec},{LIBRARY_LEVELS}")).ok()?;
     Logger::with(levels)
         .log_to_writer(Box::new(BufferWriter { buffer }))
         .start()
--- a/crates/mesh/src/settings.rs
+++ b/crates/mesh/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of the daemon on the users' platform (TOML).
+//! Settings file of the mesh daemon (TOML).
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -14,79 +14,80 @@
 use filbert_tree::ParseError;
 use serde::{Deserialize, Deserializer};
 
-/// Everything the daemon reads from its settings file.
+/// Contents of the daemon's settings file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MeshSettings {
-    /// The host's name, unique among all hosts.
+    /// Name of the host, unique among all hosts.
     pub id: String,
-    /// The availability zone it is in.
+    /// Availability zone of the host.
     pub zone: String,
-    /// The service of the target beside the daemon.
+    /// Service of the target on this host.
     pub service: String,
-    /// Where that target listens.
+    /// Address at which the target on this host listens.
     pub target: SocketAddr,
-    /// The platform's store, `IP:PORT`.
+    /// Address of the platform's store, `IP:PORT`.
     pub store: String,
-    /// Whether the whole fleet starts for the first time: the store holds no
-    /// hosts yet, and nobody calls.
+    /// Whether the whole fleet starts for the first time: the store has no hosts yet, and
+    /// there are no calls.
     #[serde(default)]
     pub first_start: bool,
-    /// Every availability zone of the fleet, where that is known ahead.
+    /// All availability zones of the fleet, if they are known in advance.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Where the daemon listens.
+    /// Addresses at which the daemon listens.
     pub listen: ListenSettings,
-    /// Times that the users set.
+    /// Intervals and time limits that the operators of the platform set.
     pub times: TimeSettings,
-    /// The retry budget of all daemons together.
+    /// Retry budget, shared by all daemons.
     pub retry: RetrySettings,
-    /// What a roll-out may risk.
+    /// Limits on the calls that a bad version may get in a roll-out.
     #[serde(default)]
     pub rollout: RolloutSettings,
-    /// What organisations may run.
+    /// How the rate limits of organisations are interpreted.
     #[serde(default)]
     pub quota: QuotaSettings,
-    /// How soon a withdrawn key is refused everywhere; without it, as soon as a
-    /// host hears of it.
+    /// Guarantee for withdrawn API keys. Without it, each host refuses a withdrawn key as
+    /// soon as it learns of the withdrawal.
     pub withdrawal: Option<WithdrawalSettings>,
-    /// What it costs to leave the availability zone.
+    /// Cost of sending a call to another availability zone.
     #[serde(default)]
     pub crossing: CrossingSettings,
-    /// The host's link.
+    /// Network link of the host, and links to other daemons.
     #[serde(default)]
     pub link: LinkSettings,
 }
 
-/// What a roll-out may risk.
+/// Limits on the calls that a bad version may get in a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RolloutSettings {
-    /// Share of a service's calls, from the order to its deadline, that a bad
-    /// version may get; 0 to 1.
+    /// Share of a service's calls, between the order and its deadline, that a bad version
+    /// may get; 0 to 1.
     pub share: f64,
-    /// Calls that it may get beyond that.
+    /// Number of calls that a bad version may get beyond that share.
     pub slack: f64,
 }
 
-/// What organisations may run.
+/// How the rate limits of organisations are interpreted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct QuotaSettings {
-    /// Calls of an organisation beyond its burst that do no harm.
+    /// Number of calls by which an organisation may exceed its burst without harm.
     pub slack: f64,
-    /// Any window of this length may hold a limit's rate and its burst; without it
-    /// a burst is used up once.
+    /// Length of the windows to which limits apply: the calls in any window may reach the
+    /// limit's rate times the window, plus its burst. Without it, a burst is not available
+    /// again in every window.
     #[serde(deserialize_with = "some_time")]
     pub window: Option<Duration>,
 }
 
-/// How soon a withdrawn key is refused everywhere.
+/// Guarantee for withdrawn API keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WithdrawalSettings {
-    /// Time from the store's word that the withdrawal is accepted to the last call
-    /// with the key, on any host.
+    /// Longest time from the store's confirmation of a withdrawal until the last call with
+    /// the key, on any host.
     #[serde(deserialize_with = "time")]
     pub within: Duration,
 }
@@ -100,14 +101,14 @@
     }
 }
 
-/// The host's link.
+/// Network link of the host, and links to other daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LinkSettings {
-    /// Its rate in Mbit/s; 0 when it is no limit.
+    /// Rate of the host's network link in Mbit/s; 0 for no limit.
     pub mbps: f64,
-    /// Services to whose targets links are kept; with more in the fleet, those
-    /// called of late.
+    /// Number of services to whose targets the daemon keeps links. If the fleet has more,
+    /// these are the services that were called recently.
     pub services: usize,
 }
 
@@ -120,70 +121,70 @@
     }
 }
 
-/// Where the daemon listens.
+/// Addresses at which the daemon listens.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenSettings {
-    /// Calls of the clients and the target on this host.
+    /// Address for calls of clients and of the target on this host.
     pub calls: SocketAddr,
-    /// Links of other daemons.
+    /// Address for links of other daemons.
     pub peers: SocketAddr,
-    /// Where other daemons reach `peers`, if not at its own address.
+    /// Address at which other daemons reach `peers`, if it differs from `peers`.
     #[serde(default)]
     pub advertised: Option<SocketAddr>,
-    /// Readiness checks.
+    /// Address for readiness checks.
     pub ready: SocketAddr,
-    /// Reports of the target beside the daemon.
+    /// Address for reports of the target on this host.
     pub control: SocketAddr,
-    /// Scrapes of the metrics; none are served without it.
+    /// Address at which metrics are served; without it, they are not.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
 }
 
-/// Times that the users set.
+/// Intervals and time limits that the operators of the platform set.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TimeSettings {
-    /// Between two reports of a target.
+    /// Time between two reports of a target.
     #[serde(deserialize_with = "time")]
     pub report_every: Duration,
-    /// From a target's announced leaving to its last call.
+    /// Time from a target's announcement that it leaves until its last call.
     #[serde(deserialize_with = "time")]
     pub drain: Duration,
-    /// From the order to stop to the process's end by force.
+    /// Time from the order to stop until the platform kills the process.
     #[serde(deserialize_with = "time")]
     pub grace: Duration,
 }
 
-/// The retry budget of all daemons together.
+/// Retry budget, shared by all daemons.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetrySettings {
-    /// Repeated arrivals per call in any window.
+    /// Retries per call in any window.
     pub ratio: f64,
-    /// Repeated arrivals per window and service on top.
+    /// Additional retries per window and service.
     pub slack: f64,
-    /// The window.
+    /// Length of the window in which calls and retries are counted.
     #[serde(deserialize_with = "time")]
     pub window: Duration,
 }
 
-/// What it costs to leave the availability zone, as parts of what a call
-/// answered in time is worth.
+/// Cost of sending a call to another availability zone, as a fraction of the value of a
+/// call that is answered in time.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CrossingSettings {
-    /// For any call.
+    /// Cost of any call, whatever its size.
     pub base: f64,
-    /// For each KiB of its answer.
+    /// Cost of each KiB transferred.
     pub per_kib: f64,
-    /// At most.
+    /// Upper limit of the cost.
     pub most: f64,
 }
 
 impl Default for CrossingSettings {
-    /// Links between zones are billed by the byte: a large answer is better
-    /// had late from the own zone, a small one soon from any.
+    /// Traffic between zones is billed by the byte. With these costs, a large answer is
+    /// fetched within the zone even if it is late, a small one in time from any zone.
     fn default() -> Self {
         CrossingSettings {
             base: 0.25,
@@ -193,18 +194,18 @@
     }
 }
 
-/// The settings file could not be used.
+/// Why the settings file cannot be used.
 #[derive(Debug)]
 pub enum MeshSettingsError {
-    /// It could not be read.
+    /// The file could not be read.
     Unreadable,
-    /// It is not valid TOML for these settings.
+    /// The file is not valid TOML, or has unknown, missing or wrong keys.
     Invalid(ParseError),
-    /// A value is out of range.
+    /// A value is out of its range.
     OutOfRange {
-        /// The key.
+        /// Key of the value, such as `retry.ratio`.
         key: &'static str,
-        /// What is expected.
+        /// Range of valid values, as a phrase such as `must be above 0`.
         reason: &'static str,
     },
 }
@@ -228,7 +229,7 @@
 fn time<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Duration, D::Error> {
     let text = String::deserialize(deserializer)?;
     parse_duration(&text).ok_or_else(|| {
-        serde::de::Error::custom(format!("`{text}` is no time such as 1500ms or 2s"))
+        serde::de::Error::custom(format!("`{text}` is not a duration such as 1500ms or 2s"))
     })
 }
 
@@ -240,7 +241,8 @@
     /// Reads and checks the settings file at `path`.
     ///
     /// # Errors
-    /// [`MeshSettingsError`] with the file, and the line and key where known.
+    /// [`MeshSettingsError`] with the path of the file attached, and with the line and key
+    /// if they are known.
     pub fn load(path: &Path) -> Result<MeshSettings, Report<MeshSettingsError>> {
         let text = std::fs::read_to_string(path)
             .change_context(MeshSettingsError::Unreadable)
@@ -251,7 +253,7 @@
     /// Parses and checks settings text.
     ///
     /// # Errors
-    /// [`MeshSettingsError`] with the line and key where known.
+    /// [`MeshSettingsError`] with the line and key if they are known.
     pub fn parse(text: &str) -> Result<MeshSettings, Report<MeshSettingsError>> {
         let settings: MeshSettings = toml::from_str(text).map_err(|error| {
             let error = ParseError::from_toml(text, &error);
@@ -261,6 +263,7 @@
         Ok(settings)
     }
 
+    /// Checks that all values are in range.
     fn check(&self) -> Result<(), Report<MeshSettingsError>> {
         let checks = [
             ("id", self.id.is_empty(), "must not be empty"),
@@ -302,7 +305,8 @@
             ),
             (
                 "withdrawal.within",
-                self.withdrawal.is_some_and(|terms| terms.within.is_zero()),
+                self.withdrawal
+                    .is_some_and(|withdrawal| withdrawal.within.is_zero()),
                 "must be above 0",
             ),
             ("link.services", self.link.services == 0, "must be above 0"),
@@ -316,7 +320,7 @@
         }
     }
 
-    /// The terms of the retry budget.
+    /// Returns the limits of the retry budget.
     #[must_use]
     pub fn retry_budget_limits(&self) -> RetryBudgetLimits {
         RetryBudgetLimits {
@@ -326,7 +330,7 @@
         }
     }
 
-    /// How organisations' limits are meant.
+    /// Returns how the rate limits of organisations are interpreted.
     #[must_use]
     pub fn quota_policy(&self) -> QuotaPolicy {
         QuotaPolicy {
@@ -335,7 +339,7 @@
         }
     }
 
-    /// What placement charges for leaving the zone.
+    /// Returns the cost that placement assigns to calls to another availability zone.
     #[must_use]
     pub fn cross_zone_cost(&self) -> CrossZoneCost {
         CrossZoneCost {
--- a/crates/mesh/src/shell.rs
+++ b/crates/mesh/src/shell.rs
@@ -1,4 +1,4 @@
-//! Starts the daemon's parts and sees a planned stop through.
+//! Starts the daemon's tasks and runs them until a planned stop.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -35,12 +35,12 @@
     sockets, status, stop,
 };
 
-/// Why the daemon stopped other than by a planned stop.
+/// Why the daemon ended other than by a planned stop.
 #[derive(Debug)]
 pub enum MeshError {
-    /// A port could not be bound.
+    /// The daemon could not listen on an address.
     Listen,
-    /// A signal could not be watched.
+    /// A signal handler could not be installed.
     Signals,
 }
 
@@ -48,17 +48,18 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             MeshError::Listen => "could not start listening",
-            MeshError::Signals => "could not watch signals",
+            MeshError::Signals => "could not install signal handlers",
         })
     }
 }
 
 impl std::error::Error for MeshError {}
 
-/// Time a call to the store may take. Its answers take 4 ms, and some hundred
-/// times as long when it is slow; a lost answer is noticed after this.
+/// Timeout of requests to the store. Its responses take 4 ms, or about a hundred times as
+/// long when it is slow. A lost response is noticed after this time.
 const STORE_TIMEOUT: Duration = Duration::from_secs(1);
 
+/// Listening sockets of the daemon.
 struct Listeners {
     calls: TcpListener,
     peers: TcpListener,
@@ -67,16 +68,18 @@
     metrics: Option<TcpListener>,
 }
 
+/// Listens on `address`. `port` names its use in the error report.
 fn bind(port: &'static str, address: SocketAddr) -> Result<TcpListener, Report<MeshError>> {
     sockets::listen(address)
         .change_context(MeshError::Listen)
         .attach(format!("{port} port {address}"))
 }
 
-/// Runs the daemon until a planned stop.
+/// Runs the daemon with `settings` until a planned stop. Changes of the settings file at
+/// `path` are applied while the daemon runs.
 ///
 /// # Errors
-/// [`MeshError`] when a port cannot be bound or a signal not be watched.
+/// [`MeshError`] if the daemon cannot listen on an address or install a signal handler.
 pub async fn run(settings: MeshSettings, path: PathBuf) -> Result<(), Report<MeshError>> {
     let listeners = Listeners {
         calls: bind("calls", settings.listen.calls)?,
@@ -109,6 +112,7 @@
         .await
 }
 
+/// Creates the state that the daemon's tasks share.
 fn build(settings: MeshSettings) -> Rc<MeshShared> {
     let clock: Rc<dyn Clock> = Rc::new(SystemClock);
     let now = clock.now();
@@ -149,6 +153,7 @@
     })
 }
 
+/// Starts the daemon's tasks on the current `LocalSet`.
 fn start(shared: &Rc<MeshShared>, listeners: Listeners, path: PathBuf) {
     let spawn = |task: std::pin::Pin<Box<dyn Future<Output = ()>>>| {
         tokio::task::spawn_local(task);
--- a/crates/mesh/src/status.rs
+++ b/crates/mesh/src/status.rs
@@ -1,5 +1,5 @@
-//! Tells the peers about the target here: at once when it opens or closes,
-//! otherwise a few times a second while its load changes.
+//! Sends the status of the target on this host to other daemons: at once when the gate
+//! reports a change, otherwise a few times per second while the load changes.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,114 +9,124 @@
 use crate::messages::{encode, LinkMessage, TargetLoad, TargetStatus};
 use crate::state::MeshShared;
 
-/// Pause between descriptions of a changing load. Placement elsewhere goes by
-/// them; answers carry the load besides.
-const LOAD_EVERY: Duration = Duration::from_millis(200);
-/// Daemons that are told each [`LOAD_EVERY`]; more are told less often, so
-/// that a target costs the same at any size of the fleet.
-const TOLD_OFTEN: usize = 12;
-/// Change of a mean run time that is worth telling, as a share.
-const RUN_CHANGE: f64 = 0.15;
-/// Change of the share of ill runs that is worth telling.
-const ILL_CHANGE: f64 = 0.08;
+/// Interval at which a changing load is sent. Other daemons place calls by it; they also
+/// get the load with each answer.
+const LOAD_UPDATE_INTERVAL: Duration = Duration::from_millis(200);
+/// Largest number of subscribers that get updates at [`LOAD_UPDATE_INTERVAL`]. With more,
+/// updates are less frequent, so that their cost per target does not grow with the fleet.
+const MAX_FULL_RATE_SUBSCRIBERS: usize = 12;
+/// Relative change of the mean run time from which daemons in the zone are updated.
+const RUN_TIME_CHANGE: f64 = 0.15;
+/// Change of the failure rate from which daemons in the zone are updated.
+const FAILURE_RATE_CHANGE: f64 = 0.08;
 
-/// Change of the share of ill runs that is worth telling another zone.
-const FAR_ILL_CHANGE: f64 = 0.2;
-/// Change of the pace that is worth telling another zone, as a share.
-const FAR_PACE_CHANGE: f64 = 0.3;
+/// Change of the failure rate from which daemons in other zones are updated.
+const OUTSIDE_FAILURE_RATE_CHANGE: f64 = 0.2;
+/// Relative change of the slowdown from which daemons in other zones are updated.
+const OUTSIDE_SLOWDOWN_CHANGE: f64 = 0.3;
 
-/// Describes the target to the peers. Runs for ever.
+/// Sends the status of the target on this host to other daemons when it has changed
+/// enough. Runs until the process ends.
 pub async fn send_updates(shared: Rc<MeshShared>) {
-    let mut near: Option<TargetStatus> = None;
-    let mut far: Option<TargetStatus> = None;
+    let mut sent_in_zone: Option<TargetStatus> = None;
+    let mut sent_outside: Option<TargetStatus> = None;
     loop {
         tokio::select! {
-            () = tokio::time::sleep(load_pause(shared.peers.watchers())) => {}
+            () = tokio::time::sleep(load_update_interval(shared.peers.watchers())) => {}
             () = shared.gate.changed.notified() => {}
         }
         let status = shared.gate.status();
         let zone = shared.settings.borrow().zone.clone();
-        let is_near_news = is_worth_telling(near.as_ref(), status.as_ref());
-        let is_far_news = is_worth_crossing(far.as_ref(), status.as_ref());
-        if !is_near_news && !is_far_news {
+        let updates_zone = needs_update_in_zone(sent_in_zone.as_ref(), status.as_ref());
+        let updates_outside = needs_update_outside(sent_outside.as_ref(), status.as_ref());
+        if !updates_zone && !updates_outside {
             continue;
         }
         let frame = encode(&LinkMessage::Target(status.clone()));
-        if is_near_news {
+        if updates_zone {
             shared.peers.broadcast_in(&zone, &frame);
-            near.clone_from(&status);
+            sent_in_zone.clone_from(&status);
         }
-        if is_far_news {
+        if updates_outside {
             shared.peers.broadcast_outside(&zone, &frame);
-            far = status;
+            sent_outside = status;
         }
     }
 }
 
-/// Room at a target, as far as another zone has a use for it.
+/// Free capacity of a target, in the steps that daemons in other zones distinguish.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum RoomLevel {
-    /// A third of the slots or more is free.
+enum Headroom {
+    /// At least a third of the slots is free.
     Ample,
-    /// Some slots are free.
+    /// Fewer slots are free, but at least one.
     Few,
-    /// Calls wait, or would.
+    /// No slot is free: calls wait, or the next call would.
     None,
 }
 
-impl RoomLevel {
-    fn of(load: &TargetLoad) -> RoomLevel {
-        let taken = load.running + load.waiting;
-        if taken >= load.slots {
-            RoomLevel::None
-        } else if (load.slots - taken) * 3 >= load.slots {
-            RoomLevel::Ample
+impl Headroom {
+    fn of(load: &TargetLoad) -> Headroom {
+        let in_use = load.running + load.waiting;
+        if in_use >= load.slots {
+            Headroom::None
+        } else if (load.slots - in_use) * 3 >= load.slots {
+            Headroom::Ample
         } else {
-            RoomLevel::Few
+            Headroom::Few
         }
     }
 }
 
-/// Whether a change is worth telling other zones.
+/// Returns whether `status` differs enough from what was sent last for an update of the
+/// daemons in other zones.
 ///
-/// Load pattern: calls seldom leave their zone, and bytes between zones are
-/// billed. Told each change of the load, other zones got 1.2 MB in half a quiet
-/// minute of fifteen hosts, more than the 0.8 MB of the calls between them.
-fn is_worth_crossing(told: Option<&TargetStatus>, status: Option<&TargetStatus>) -> bool {
-    match (told, status) {
-        (Some(told), Some(status)) => {
-            let (before, after) = (&told.load, &status.load);
-            is_other_target(told, status)
-                || RoomLevel::of(before) != RoomLevel::of(after)
-                || (before.slowdown - after.slowdown).abs() > FAR_PACE_CHANGE * before.slowdown
-                || (before.failure_rate - after.failure_rate).abs() > FAR_ILL_CHANGE
+/// Calls seldom leave their zone, and traffic between zones is billed. When every change
+/// of the load was sent, fifteen hosts with little traffic sent 1.2 MB of updates to
+/// other zones in half a minute, more than the 0.8 MB of the calls between the zones.
+fn needs_update_outside(sent: Option<&TargetStatus>, status: Option<&TargetStatus>) -> bool {
+    match (sent, status) {
+        (Some(sent), Some(status)) => {
+            let (before, after) = (&sent.load, &status.load);
+            has_target_changed(sent, status)
+                || Headroom::of(before) != Headroom::of(after)
+                || (before.slowdown - after.slowdown).abs()
+                    > OUTSIDE_SLOWDOWN_CHANGE * before.slowdown
+                || (before.failure_rate - after.failure_rate).abs() > OUTSIDE_FAILURE_RATE_CHANGE
         }
-        (told, status) => told.is_some() != status.is_some(),
+        (sent, status) => sent.is_some() != status.is_some(),
     }
 }
 
-fn is_other_target(told: &TargetStatus, status: &TargetStatus) -> bool {
-    told.instance != status.instance
-        || told.service != status.service
-        || told.state != status.state
-        || told.is_cold != status.is_cold
-        || told.load.slots != status.load.slots
+/// Returns whether the target was replaced or its state changed, apart from its load.
+fn has_target_changed(sent: &TargetStatus, status: &TargetStatus) -> bool {
+    sent.instance != status.instance
+        || sent.service != status.service
+        || sent.state != status.state
+        || sent.is_cold != status.is_cold
+        || sent.load.slots != status.load.slots
 }
 
-fn load_pause(watchers: usize) -> Duration {
-    LOAD_EVERY.mul_f64(count_to_f64(watchers.max(TOLD_OFTEN)) / count_to_f64(TOLD_OFTEN))
+/// Returns the interval between updates of the load for this number of subscribers.
+fn load_update_interval(subscriber_count: usize) -> Duration {
+    LOAD_UPDATE_INTERVAL.mul_f64(
+        count_to_f64(subscriber_count.max(MAX_FULL_RATE_SUBSCRIBERS))
+            / count_to_f64(MAX_FULL_RATE_SUBSCRIBERS),
+    )
 }
 
-fn is_worth_telling(told: Option<&TargetStatus>, status: Option<&TargetStatus>) -> bool {
-    match (told, status) {
+/// Returns whether `status` differs enough from what was sent last for an update of the
+/// daemons in the zone.
+fn needs_update_in_zone(sent: Option<&TargetStatus>, status: Option<&TargetStatus>) -> bool {
+    match (sent, status) {
         (None, None) => false,
-        (Some(told), Some(status)) => {
-            let before = &told.load;
+        (Some(sent), Some(status)) => {
+            let before = &sent.load;
             let after = &status.load;
-            is_other_target(told, status)
+            has_target_changed(sent, status)
                 || (before.running + before.waiting) != (after.running + after.waiting)
-                || (before.run_ms - after.run_ms).abs() > RUN_CHANGE * before.run_ms
-                || (before.failure_rate - after.failure_rate).abs() > ILL_CHANGE
+                || (before.run_ms - after.run_ms).abs() > RUN_TIME_CHANGE * before.run_ms
+                || (before.failure_rate - after.failure_rate).abs() > FAILURE_RATE_CHANGE
         }
         _ => true,
     }
