--- a/tests/mesh_logs.rs
+++ b/tests/mesh_logs.rs
@@ -1,4 +1,5 @@
-//! Logs and metrics between stand-ins of the users' platform.
+//! Tests of the mesh daemon's logs and metrics, as processes with stand-ins for the rest
+//! of the platform.
 
 #[path = "support/users.rs"]
 mod users;
@@ -20,27 +21,27 @@
     ]
 }
 
-/// The collector that reads the daemon's output stalls while calls are
-/// refused by the hundred. Each refusal writes lines; once the pipe is full, a
-/// daemon that waited for the collector would answer nobody.
+/// The collector that reads the daemon's output stalls while hundreds of calls are
+/// refused, and each refusal writes log lines. If the daemon waited for the collector once
+/// the pipe is full, it would answer no call.
 #[tokio::test]
-async fn a_stalled_reader_of_the_log_holds_no_call_up() {
+async fn a_stalled_log_reader_does_not_delay_calls() {
     let store = StandinStore::start().await;
     publish(&store, 1, &routes());
     let mut spec = host_spec(&store, "quoter", "a", "quotes");
     spec.stalled_log = true;
     let host = Host::start(spec).await;
-    let served = eventually(SETTLE_WITHIN, || async {
+    let is_serving = eventually(SETTLE_WITHIN, || async {
         let answer = host.call(READ, "warm", b"").await;
         answer.is_some_and(|answer| answer.status == 200)
     })
     .await;
-    assert!(served);
+    assert!(is_serving);
     host.target.set_conduct(Conduct::Rejects);
     let mut client = Client::connect(host.calls).await.expect("a connection");
-    let until = Instant::now() + Duration::from_secs(4);
+    let deadline = Instant::now() + Duration::from_secs(4);
     let mut number = 0;
-    while Instant::now() < until {
+    while Instant::now() < deadline {
         number += 1;
         let id = format!("order-{number}");
         let started = Instant::now();
@@ -50,31 +51,31 @@
             .expect("sent");
         let answer = client.answer().await.expect("an answer");
         assert_eq!(answer.status, 503);
-        let took = started.elapsed();
+        let elapsed = started.elapsed();
         assert!(
-            took < Duration::from_millis(500),
-            "call {number} took {took:?}"
+            elapsed < Duration::from_millis(500),
+            "call {number} took {elapsed:?}"
         );
     }
     assert!(number > 500, "{number} calls are too few to fill the pipe");
 }
 
-/// A call's ending, and the line that must tell it.
-struct LineCase {
+/// A call, and what its `event=call_ended` log line must contain.
+struct CallEndedCase {
     conduct: Conduct,
-    line: &'static str,
-    parts: &'static [&'static str],
+    request_line: &'static str,
+    expected_parts: &'static [&'static str],
 }
 
 #[rstest]
-#[case(LineCase { conduct: Conduct::LosesAnswers, line: ORDER, parts: &["outcome=unknown status=502 reason=answer_lost", "host=quoter attempts=1"] })]
-#[case(LineCase { conduct: Conduct::Rejects, line: ORDER, parts: &["outcome=refused status=503 reason=target_rejected", "come_back_ms="] })]
-#[case(LineCase { conduct: Conduct::Hangs, line: ORDER, parts: &["outcome=timed_out status=504 reason=time_up", "host=quoter attempts=1"] })]
-#[case(LineCase { conduct: Conduct::Fails, line: READ, parts: &["outcome=target_failed status=500"] })]
-#[case(LineCase { conduct: Conduct::Answers, line: READ, parts: &["outcome=answered status=200"] })]
-#[case(LineCase { conduct: Conduct::Answers, line: "GET /none/ HTTP/1.1", parts: &["outcome=no_route status=404 reason=no_route"] })]
+#[case(CallEndedCase { conduct: Conduct::LosesAnswers, request_line: ORDER, expected_parts: &["outcome=unknown status=502 reason=answer_lost", "host=quoter attempts=1"] })]
+#[case(CallEndedCase { conduct: Conduct::Rejects, request_line: ORDER, expected_parts: &["outcome=refused status=503 reason=target_rejected", "come_back_ms="] })]
+#[case(CallEndedCase { conduct: Conduct::Hangs, request_line: ORDER, expected_parts: &["outcome=timed_out status=504 reason=time_up", "host=quoter attempts=1"] })]
+#[case(CallEndedCase { conduct: Conduct::Fails, request_line: READ, expected_parts: &["outcome=target_failed status=500"] })]
+#[case(CallEndedCase { conduct: Conduct::Answers, request_line: READ, expected_parts: &["outcome=answered status=200"] })]
+#[case(CallEndedCase { conduct: Conduct::Answers, request_line: "GET /none/ HTTP/1.1", expected_parts: &["outcome=no_route status=404 reason=no_route"] })]
 #[tokio::test]
-async fn the_last_line_of_a_call_tells_its_ending(#[case] case: LineCase) {
+async fn call_ended_line_states_how_the_call_ended(#[case] case: CallEndedCase) {
     let fleet = fleet(
         &routes(),
         &[("caller", "a", "art"), ("quoter", "a", "quotes")],
@@ -82,7 +83,7 @@
     .await;
     fleet.hosts[1].target.set_conduct(case.conduct);
     fleet.hosts[0]
-        .call(case.line, "told", b"")
+        .call(case.request_line, "told", b"")
         .await
         .expect("an answer");
     assert!(eventually_logs(&fleet.hosts[0], "event=call_ended request=told").await);
@@ -91,7 +92,7 @@
         .lines()
         .find(|line| line.contains("event=call_ended request=told"))
         .expect("the line");
-    for part in case.parts {
+    for part in case.expected_parts {
         assert!(line.contains(part), "{part} is not in {line}");
     }
     assert!(
@@ -101,7 +102,7 @@
 }
 
 #[tokio::test]
-async fn the_metrics_count_what_was_served() {
+async fn metrics_count_calls_attempts_and_runs() {
     let fleet = fleet(
         &routes(),
         &[("caller", "a", "art"), ("quoter", "a", "quotes")],
--- a/tests/mesh_operator.rs
+++ b/tests/mesh_operator.rs
@@ -1,4 +1,5 @@
-//! The operator's commands between stand-ins of the users' platform.
+//! Tests of the operator's commands `filbertctl mesh`, with stand-ins for the rest of the
+//! platform.
 
 #[path = "support/users.rs"]
 mod users;
@@ -8,17 +9,19 @@
 use filbert_platform_standin::{config_text, RouteSpec};
 use users::{fleet, publish, Fleet};
 
-async fn ctl(fleet: &Fleet, words: &[&str]) -> Output {
+/// Runs `filbertctl mesh` with `args` against the fleet's store.
+async fn filbertctl(fleet: &Fleet, args: &[&str]) -> Output {
     let store = fleet.store.address.to_string();
     tokio::process::Command::new(env!("CARGO_BIN_EXE_filbertctl"))
         .args(["mesh", "--store", &store])
-        .args(words)
+        .args(args)
         .output()
         .await
-        .expect("it runs")
+        .expect("filbertctl runs")
 }
 
-fn text(output: &Output) -> String {
+/// Returns the standard output of a command, which must have succeeded.
+fn stdout_of(output: &Output) -> String {
     assert!(
         output.status.success(),
         "{}",
@@ -28,7 +31,7 @@
 }
 
 #[tokio::test]
-async fn an_operator_sees_the_tree_its_changes_and_the_hosts() {
+async fn show_hosts_and_diff_print_the_tree_the_hosts_and_the_changes() {
     let routes = [
         RouteSpec::reads("/read/", "quotes"),
         RouteSpec::orders("/order/", "quotes"),
@@ -38,7 +41,7 @@
         &[("caller", "a", "art"), ("quoter", "b", "quotes")],
     )
     .await;
-    let shown = text(&ctl(&fleet, &["show"]).await);
+    let shown = stdout_of(&filbertctl(&fleet, &["show"]).await);
     for part in [
         "site (version 00000001)",
         "shop.example",
@@ -48,20 +51,24 @@
     ] {
         assert!(shown.contains(part), "{part} is not in:\n{shown}");
     }
-    let below = text(&ctl(&fleet, &["show", "shop.example/quotes/r-0"]).await);
-    assert!(below.contains("r-0") && !below.contains("r-1"), "{below}");
-    let hosts = text(&ctl(&fleet, &["hosts", "--output", "json"]).await);
+    let subtree = stdout_of(&filbertctl(&fleet, &["show", "shop.example/quotes/r-0"]).await);
+    assert!(
+        subtree.contains("r-0") && !subtree.contains("r-1"),
+        "{subtree}"
+    );
+    let hosts = stdout_of(&filbertctl(&fleet, &["hosts", "--output", "json"]).await);
     let hosts: serde_json::Value = serde_json::from_str(&hosts).expect("JSON");
     assert_eq!(hosts[1]["id"], "quoter");
 
-    let saved = std::env::temp_dir().join(format!("filbert-config-{}.json", std::process::id()));
-    std::fs::write(&saved, config_text(1, &routes)).expect("saved");
+    let saved_path =
+        std::env::temp_dir().join(format!("filbert-config-{}.json", std::process::id()));
+    std::fs::write(&saved_path, config_text(1, &routes)).expect("saved");
     let mut changed = routes.to_vec();
     changed[0].timeout_ms = 900;
     changed.push(RouteSpec::reads("/new/", "quotes"));
     publish(&fleet.store, 2, &changed);
-    let diff = text(&ctl(&fleet, &["diff", &saved.display().to_string()]).await);
-    std::fs::remove_file(&saved).expect("removed");
+    let diff = stdout_of(&filbertctl(&fleet, &["diff", &saved_path.display().to_string()]).await);
+    std::fs::remove_file(&saved_path).expect("removed");
     assert!(
         diff.contains("~ shop.example/quotes/r-0.timeout_ms = 2000 -> 900"),
         "{diff}"
@@ -74,15 +81,15 @@
 }
 
 #[tokio::test]
-async fn a_watch_tells_where_a_version_is_missing() {
+async fn watch_names_the_hosts_that_lack_a_version() {
     let routes = [RouteSpec::reads("/read/", "quotes")];
     let fleet = fleet(&routes, &[("quoter", "b", "quotes")]).await;
     let port = fleet.hosts[0].metrics.port().to_string();
-    let words = ["watch", "1", "--metrics-port", &port];
-    let watched = text(&ctl(&fleet, &words).await);
+    let args = ["watch", "1", "--metrics-port", &port];
+    let watched = stdout_of(&filbertctl(&fleet, &args).await);
     assert!(watched.contains("in force everywhere"), "{watched}");
-    let words = ["watch", "7", "--metrics-port", &port, "--timeout", "1"];
-    let output = ctl(&fleet, &words).await;
+    let args = ["watch", "7", "--metrics-port", &port, "--timeout", "1"];
+    let output = filbertctl(&fleet, &args).await;
     assert_eq!(output.status.code(), Some(1));
     let message = String::from_utf8_lossy(&output.stderr);
     assert!(
@@ -92,19 +99,19 @@
 }
 
 #[tokio::test]
-async fn an_operator_sees_what_each_daemon_has_in_force() {
+async fn status_prints_each_daemons_version_or_that_it_does_not_answer() {
     let routes = [RouteSpec::reads("/read/", "quotes")];
     let mut fleet = fleet(&routes, &[("quoter", "b", "quotes")]).await;
     let port = fleet.hosts[0].metrics.port().to_string();
-    let words = ["status", "--metrics-port", &port];
-    let shown = text(&ctl(&fleet, &words).await);
+    let args = ["status", "--metrics-port", &port];
+    let shown = stdout_of(&filbertctl(&fleet, &args).await);
     let line = shown.lines().nth(1).expect("a line for the host");
     assert!(
         line.contains("quoter") && line.contains("00000001"),
         "{shown}"
     );
-    let words = ["status", "--metrics-port", &port, "--output", "json"];
-    let shown = text(&ctl(&fleet, &words).await);
+    let args = ["status", "--metrics-port", &port, "--output", "json"];
+    let shown = stdout_of(&filbertctl(&fleet, &args).await);
     let hosts: serde_json::Value = serde_json::from_str(&shown).expect("JSON");
     assert_eq!(hosts[0]["service"], "quotes");
     assert_eq!(hosts[0]["daemon"]["version"], 1);
@@ -113,7 +120,7 @@
         "{shown}"
     );
     fleet.hosts[0].kill();
-    let words = ["status", "--metrics-port", &port];
-    let shown = text(&ctl(&fleet, &words).await);
+    let args = ["status", "--metrics-port", &port];
+    let shown = stdout_of(&filbertctl(&fleet, &args).await);
     assert!(shown.contains("does not answer"), "{shown}");
 }
--- a/tests/mesh_stops.rs
+++ b/tests/mesh_stops.rs
@@ -1,4 +1,5 @@
-//! Planned stops and reloads between stand-ins of the users' platform.
+//! Tests of the mesh daemon's planned stop and of reloads of its settings, as processes
+//! with stand-ins for the rest of the platform.
 
 #[path = "support/users.rs"]
 mod users;
@@ -12,20 +13,20 @@
 const READ: &str = "GET /read/a HTTP/1.1";
 const ORDER: &str = "POST /order/a HTTP/1.1";
 
-/// Asks for readiness as the platform does, once a second, until it is told no
-/// twice.
-async fn miss_twice(fleet: &Fleet, host: usize) {
+/// Makes two readiness checks, both of which must fail. The platform checks once a second;
+/// these checks are 300 ms apart.
+async fn fail_two_readiness_checks(fleet: &Fleet, host: usize) {
     for _ in 0..2 {
         tokio::time::sleep(Duration::from_millis(300)).await;
         assert!(!fleet.hosts[host].is_ready().await, "ready during a stop");
     }
 }
 
-/// An order is under way when the caller's daemon is told to stop. It must be
-/// answered whole; the daemon then ends by itself, and its kept connections
-/// close without an answer cut.
+/// The caller's daemon is told to stop during an `ORDER` call. The call must get its whole
+/// answer. Then the daemon must close its persistent connections, without cutting off an
+/// answer, and exit by itself.
 #[tokio::test]
-async fn a_stop_cuts_no_call() {
+async fn a_stop_lets_calls_of_clients_end() {
     let mut fleet = pair("a").await;
     fleet.hosts[1]
         .target
@@ -34,7 +35,7 @@
     let mut busy = fleet.call_under_way(ORDER, "order-1").await;
     fleet.hosts[0].signal(Signal::SIGTERM);
     let early = fleet.hosts[0].call(READ, "early", b"");
-    let (early, ()) = tokio::join!(early, miss_twice(&fleet, 0));
+    let (early, ()) = tokio::join!(early, fail_two_readiness_checks(&fleet, 0));
     assert_eq!(early.expect("an answer").status, 200, "callers still come");
     assert_eq!(busy.answer().await.expect("the whole answer").status, 200);
     assert!(idle.is_closed_within(Duration::from_secs(5)).await);
@@ -45,17 +46,17 @@
     );
 }
 
-/// The daemon beside a busy target is told to stop. The call that runs there
-/// for another host must be answered whole, and new ones are not lost.
+/// The daemon of a busy target is told to stop. The call that the target runs for another
+/// host must get its whole answer, and a new call must be refused rather than lost.
 #[tokio::test]
-async fn a_stop_beside_the_target_cuts_no_call() {
+async fn a_stop_lets_calls_of_other_hosts_end() {
     let mut fleet = pair("a").await;
     fleet.hosts[1]
         .target
         .set_conduct(Conduct::AnswersAfter(Duration::from_millis(1_300)));
     let mut busy = fleet.call_under_way(ORDER, "order-1").await;
     fleet.hosts[1].signal(Signal::SIGTERM);
-    miss_twice(&fleet, 1).await;
+    fail_two_readiness_checks(&fleet, 1).await;
     assert_eq!(busy.answer().await.expect("the whole answer").status, 200);
     assert!(fleet.hosts[1].ended(Duration::from_secs(6)).await);
     let answer = fleet.hosts[0]
@@ -65,35 +66,36 @@
     assert_eq!(answer.status, 503, "no target is left, and it was not run");
 }
 
-/// A target has answered with 200 KB, and its daemon still sends them over a
-/// slow link when it is told to stop. Nothing runs at the target any more, but
-/// the caller on the other host has half an answer: it must get all of it.
+/// A daemon is told to stop while it sends an answer of 200 KB over a slow link. The target
+/// has finished the call, so no call is in progress at the gate, but the caller on the
+/// other host has only a part of the answer. It must get all of it.
 #[tokio::test]
-async fn a_stop_cuts_no_answer_that_leaves_over_a_slow_link() {
+async fn a_stop_waits_for_an_answer_on_a_slow_link() {
     const LENGTH: usize = 200_000;
     let mut fleet = pair("a").await;
     reload_with(&fleet.hosts[1], "[link]\nmbps = 0.7\n").await;
     fleet.hosts[1].target.set_body_bytes(LENGTH);
     let mut busy = fleet.call_under_way(READ, "read-1").await;
     fleet.hosts[1].signal(Signal::SIGTERM);
-    let (answer, ()) = tokio::join!(busy.answer(), miss_twice(&fleet, 1));
+    let (answer, ()) = tokio::join!(busy.answer(), fail_two_readiness_checks(&fleet, 1));
     let answer = answer.expect("the whole answer");
     assert_eq!(answer.body.len(), LENGTH, "{}", fleet.hosts[1].log());
     assert!(fleet.hosts[1].ended(Duration::from_secs(6)).await);
 }
 
-/// Nobody asks for readiness. The stop must not wait for that for ever.
+/// There are no readiness checks during a stop. The daemon must not wait for them until
+/// it is killed.
 #[tokio::test]
-async fn a_stop_ends_within_the_grace_time_without_checks() {
+async fn a_stop_without_readiness_checks_ends_within_the_grace_time() {
     let mut fleet = pair("a").await;
     fleet.hosts[0].signal(Signal::SIGTERM);
     assert!(fleet.hosts[0].ended(Duration::from_secs(6)).await);
 }
 
-/// The settings file changes, announced or not. Calls go on, and the new
-/// settings are in force.
+/// The settings file changes, with and without a SIGHUP, and is invalid in between. Calls
+/// must be served all the time, and the last valid settings must be in force.
 #[tokio::test]
-async fn a_reload_harms_nothing() {
+async fn a_reload_applies_valid_settings_and_keeps_serving() {
     let fleet = pair("a").await;
     let path = &fleet.hosts[0].settings_path;
     let text = std::fs::read_to_string(path).expect("the settings");
@@ -131,12 +133,11 @@
     assert_eq!(caller(1), "third");
 }
 
-/// A host is taken away while the store is silent and a long lookup still runs
-/// at its server. Its daemon waits for the lookup as long as it may and for the
-/// store's word on its row behind it: together they are longer than the grace
-/// time, and the daemon would be ended by force.
+/// A host is removed while the store does not respond and its target still runs a long
+/// `READ` call. If the daemon waited for the call first and then for the store to confirm
+/// the removal of the host's row, it would exceed the grace time and be killed.
 #[tokio::test]
-async fn a_stop_ends_within_the_grace_time_though_the_store_is_silent() {
+async fn a_stop_with_an_unresponsive_store_ends_within_the_grace_time() {
     const GRACE: Duration = Duration::from_secs(6);
     let mut route = RouteSpec::reads("/read/", "quotes");
     route.timeout_ms = 20_000;
