--- a/crates/mesh/src/calls/story.rs
+++ b/crates/mesh/src/calls/story.rs
@@ -69,12 +69,12 @@
         };
         shared.metrics.record_call(&self.service, outcome, took);
         let is_late = self.aim_ms > 0 && took.as_millis() > self.aim_ms;
-        let weight = if outcome == "answered" && !is_late && self.attempts <= 1 {
+        let priority = if outcome == "answered" && !is_late && self.attempts <= 1 {
             LinePriority::Ordinary
         } else {
             LinePriority::Notable
         };
-        if !shared.log_limiter.allows(weight, now) {
+        if !shared.log_limiter.allows(priority, now) {
             return;
         }
         log::info!(
--- a/crates/mesh/src/ingress/mod.rs
+++ b/crates/mesh/src/ingress/mod.rs
@@ -52,7 +52,7 @@
     id: String,
     is_http11: bool,
     closes: bool,
-    _mark: ActiveCallGuard,
+    _active_call: ActiveCallGuard,
 }
 
 impl Drop for DueAnswer {
@@ -153,7 +153,7 @@
         id,
         is_http11,
         closes,
-        _mark: ActiveCallGuard::new(shared),
+        _active_call: ActiveCallGuard::new(shared),
     });
     state.added.notify_one();
 }
--- a/crates/mesh/src/serve_peers.rs
+++ b/crates/mesh/src/serve_peers.rs
@@ -87,7 +87,7 @@
     request: Request<RecvStream>,
     mut respond: SendResponse<Bytes>,
 ) -> Result<(), LinkError> {
-    let _mark = ActiveCallGuard::new(&shared);
+    let _active_call = ActiveCallGuard::new(&shared);
     let mut incoming = request.into_body();
     let mut buffer = BytesMut::new();
     let call: CallHead = loop {
