--- a/crates/mesh/src/reload.rs
+++ b/crates/mesh/src/reload.rs
@@ -55,8 +55,8 @@
 
 /// Puts changed settings in force. Changes of `listen` take effect only after a restart.
 fn apply_reload(shared: &MeshShared, settings: MeshSettings, is_requested: bool) {
-    let before = Rc::clone(&shared.settings.borrow());
-    if before.listen != settings.listen {
+    let old_settings = Rc::clone(&shared.settings.borrow());
+    if old_settings.listen != settings.listen {
         log::warn!("event=reload_partial key=listen reason=\"takes a restart\"");
     }
     log::info!(
@@ -67,10 +67,10 @@
     shared.gate.set_terms(settings.target, &settings.times);
     shared.egress.set_rate(settings.link.mbps);
     shared.organisations.set_terms(&settings);
-    let address = shared.own_address();
+    let old_address = shared.own_address();
     *shared.settings.borrow_mut() = Rc::new(settings);
     shared.members.changed.notify_one();
-    if shared.own_address() != address {
+    if shared.own_address() != old_address {
         shared.members.rows.miss_own();
     }
 }
--- a/crates/mesh/src/state.rs
+++ b/crates/mesh/src/state.rs
@@ -111,17 +111,17 @@
     /// copy and lacks what was written to it since then. This daemon therefore treats the
     /// rows that it keeps as unwritten, and writes those that are missing again.
     pub fn handle_store_era(&self, era: u64) {
-        let before = self.store_era.replace(Some(era));
-        if before.is_none_or(|before| before == era) {
+        let previous = self.store_era.replace(Some(era));
+        if previous.is_none_or(|previous| previous == era) {
             return;
         }
         log::warn!(
             "event=store_came_back era={era} before={}",
-            before.unwrap_or_default()
+            previous.unwrap_or_default()
         );
         self.rollouts.store_came_back();
-        let held = self.quarantine.forget_rows();
-        self.see_to_held_rows(&held);
+        let calls = self.quarantine.forget_rows();
+        self.see_to_held_rows(&calls);
     }
 
     /// Returns the compiled routes of the version in force.
@@ -151,12 +151,13 @@
         self.with_route_stats(route, |stats| stats.client_timeouts.record(timeout))
     }
 
-    fn with_route_stats<T>(&self, route: &str, change: impl FnOnce(&mut RouteStats) -> T) -> T {
+    /// Applies `update` to the statistics of `route`, which are created if there are none.
+    fn with_route_stats<T>(&self, route: &str, update: impl FnOnce(&mut RouteStats) -> T) -> T {
         let mut route_stats = self.route_stats.borrow_mut();
         if let Some(stats) = route_stats.get_mut(route) {
-            return change(stats);
+            return update(stats);
         }
-        change(route_stats.entry(route.to_owned()).or_default())
+        update(route_stats.entry(route.to_owned()).or_default())
     }
 
     /// Records the size of an answer on `route`, and the time of the run that gave it.
