--- a/crates/mesh/src/settings.rs
+++ b/crates/mesh/src/settings.rs
@@ -229,7 +229,7 @@
 fn time<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Duration, D::Error> {
     let text = String::deserialize(deserializer)?;
     parse_duration(&text).ok_or_else(|| {
-        serde::de::Error::custom(format!("`{text}` is not a duration such as 1500ms or 2s"))
+        serde::de::Error::custom(format!("`{text}` is no time such as 1500ms or 2s"))
     })
 }
 
