--- a/crates/mesh/src/calls/access_log.rs
+++ b/crates/mesh/src/calls/access_log.rs
@@ -8,7 +8,7 @@
     ClientAnswer, ClientCall, GATEWAY_TIMEOUT, MIN_SERVER_ERROR, NOT_FOUND, SERVICE_UNAVAILABLE,
     TOO_MANY_REQUESTS, UNAUTHORIZED,
 };
-use crate::logging::LineWeight;
+use crate::logging::LinePriority;
 use crate::state::MeshShared;
 
 /// The access log line of a call, filled in while the call is handled.
@@ -72,14 +72,14 @@
                 (outcome, *status, *retry_after)
             }
         };
-        shared.metrics.call(&self.service, outcome, elapsed);
+        shared.metrics.record_call(&self.service, outcome, elapsed);
         let is_late = self.soft_deadline_ms > 0 && elapsed.as_millis() > self.soft_deadline_ms;
-        let weight = if outcome == "answered" && !is_late && self.attempts <= 1 {
-            LineWeight::Ordinary
+        let priority = if outcome == "answered" && !is_late && self.attempts <= 1 {
+            LinePriority::Ordinary
         } else {
-            LineWeight::Notable
+            LinePriority::Notable
         };
-        if !shared.lines.takes(weight, now) {
+        if !shared.log_limiter.allows(priority, now) {
             return;
         }
         log::info!(
--- a/crates/mesh/src/calls/admit.rs
+++ b/crates/mesh/src/calls/admit.rs
@@ -41,12 +41,12 @@
         KeyHolder::Anonymous => return Ok(None),
         KeyHolder::Organisation(organisation) => organisation,
         KeyHolder::Unknown => {
-            shared.metrics.keyed("unknown");
+            shared.metrics.record_key_check("unknown");
             log_entry.reason = "unknown_key";
             return Err(ClientAnswer::local(UNAUTHORIZED));
         }
         KeyHolder::Stale => {
-            shared.metrics.keyed("out_of_date");
+            shared.metrics.record_key_check("out_of_date");
             log_entry.reason = "keys_out_of_date";
             return Err(service_unavailable(STALE_KEYS_RETRY_AFTER));
         }
@@ -58,14 +58,14 @@
         match shared.take_token(&organisation, deadline).await {
             Ok(token) => token,
             Err(next_token_in) => {
-                shared.metrics.keyed("over_quota");
+                shared.metrics.record_key_check("over_quota");
                 organisations.counts.over_quota(&organisation.name);
                 log_entry.reason = "over_quota";
                 return Err(over_quota(next_token_in));
             }
         }
     };
-    shared.metrics.keyed("allowed");
+    shared.metrics.record_key_check("allowed");
     organisations.counts.allowed(&organisation.name);
     call.organisation = Some(organisation);
     Ok(token)
--- a/crates/mesh/src/calls/attempt.rs
+++ b/crates/mesh/src/calls/attempt.rs
@@ -15,7 +15,7 @@
 use crate::body::{next_data, AnswerBody, CallBody, LinkBody};
 use crate::links::CALL_URL;
 use crate::messages::{decode_next, encode, AnswerHead, CallHead, ReplyHead};
-use crate::metrics::CrossingCause;
+use crate::metrics::CrossZoneCause;
 use crate::peers::{LinkGuard, Peer};
 use crate::serve_peers::send_body_data;
 use crate::state::MeshShared;
@@ -143,13 +143,13 @@
     }
 }
 
-fn crossing_cause(reply: &ReplyHead) -> CrossingCause {
+fn crossing_cause(reply: &ReplyHead) -> CrossZoneCause {
     match reply {
-        ReplyHead::Answer { .. } => CrossingCause::Answer,
+        ReplyHead::Answer { .. } => CrossZoneCause::Answer,
         ReplyHead::Declined { .. }
         | ReplyHead::HeldBack { .. }
         | ReplyHead::Rejected { .. }
-        | ReplyHead::Lost { .. } => CrossingCause::Refusal,
+        | ReplyHead::Lost { .. } => CrossZoneCause::Refusal,
     }
 }
 
@@ -198,7 +198,7 @@
                     };
                     let bytes =
                         buffered_before - buffer.len() + usize::try_from(body_length).unwrap_or(0);
-                    shared.count_crossing(peer, crossing_cause(&reply), bytes);
+                    shared.count_cross_zone_bytes(peer, crossing_cause(&reply), bytes);
                     return Ok(Some((reply, LinkBody::new(incoming, buffer))));
                 }
                 Ok(None) => {}
@@ -215,7 +215,7 @@
             CallBody::Whole(whole) => {
                 let mut first_data = BytesMut::from(encode(head));
                 first_data.extend_from_slice(&whole);
-                shared.count_crossing(peer, CrossingCause::Call, first_data.len());
+                shared.count_cross_zone_bytes(peer, CrossZoneCause::Call, first_data.len());
                 outgoing
                     .send_data(first_data.freeze(), true)
                     .map_err(|_| ())?;
@@ -223,7 +223,7 @@
             CallBody::Streamed(mut source) => {
                 outgoing.send_data(encode(head), false).map_err(|_| ())?;
                 while let Some(data) = source.next().await.map_err(|_| ())? {
-                    shared.count_crossing(peer, CrossingCause::Call, data.len());
+                    shared.count_cross_zone_bytes(peer, CrossZoneCause::Call, data.len());
                     send_body_data(&mut outgoing, data).await.map_err(|_| ())?;
                 }
                 outgoing.send_data(Bytes::new(), true).map_err(|_| ())?;
--- a/crates/mesh/src/calls/dispatch.rs
+++ b/crates/mesh/src/calls/dispatch.rs
@@ -88,12 +88,12 @@
         log_entry: &'a mut AccessLogEntry,
     ) -> CallDispatch<'a> {
         let service = shared
-            .dealer
+            .weighted_round_robin
             .borrow_mut()
             .next_service(route, shared.seed)
             .to_owned();
         let now = shared.clock.now();
-        shared.budget.borrow_mut().record_call(&service, now);
+        shared.retry_budget.borrow_mut().record_call(&service, now);
         let soft_deadline = estimate_soft_deadline(shared, route, &call);
         log_entry.service.clone_from(&service);
         log_entry.soft_deadline_ms = soft_deadline
@@ -133,8 +133,8 @@
         self.wait_for_first_link().await;
         loop {
             let now = self.shared.clock.now();
-            let ends_by = self.shared.stop.ends_by().unwrap_or(self.deadline);
-            let deadline = self.deadline.min(ends_by);
+            let exit_deadline = self.shared.stop.exit_deadline().unwrap_or(self.deadline);
+            let deadline = self.deadline.min(exit_deadline);
             self.head.deadline_us = to_micros(deadline.saturating_duration_since(now));
             self.head.soft_deadline_us =
                 to_micros(self.soft_deadline.saturating_duration_since(now));
@@ -176,7 +176,7 @@
                     if head.status < MIN_SERVER_ERROR {
                         let body_length = head.body_length.unwrap_or(0);
                         self.shared
-                            .note_answer(&self.route.name, body_length, time_to_head);
+                            .record_answer(&self.route.name, body_length, time_to_head);
                         if matches!(body, AnswerBody::Whole(_)) {
                             self.shared.quarantine.record_success(self.head.identity);
                         }
@@ -316,7 +316,7 @@
         self.log_entry.declines = self.declines;
         self.shared
             .metrics
-            .attempt(&self.head.service, attempt_end_label(end));
+            .record_attempt(&self.head.service, attempt_end_label(end));
         end
     }
 
@@ -360,10 +360,10 @@
     }
 
     fn try_spend(&self, cause: RetryCause) -> bool {
-        let daemons = self.shared.daemons();
+        let daemon_count = self.shared.daemon_count();
         let now = self.shared.clock.now();
-        let mut budget = self.shared.budget.borrow_mut();
-        budget.try_spend(&self.head.service, cause, daemons, now)
+        let mut budget = self.shared.retry_budget.borrow_mut();
+        budget.try_spend(&self.head.service, cause, daemon_count, now)
     }
 }
 
--- a/crates/mesh/src/calls/dispatch/ending.rs
+++ b/crates/mesh/src/calls/dispatch/ending.rs
@@ -10,7 +10,7 @@
 use super::{CallDispatch, NO_TARGET_RETRY_AFTER};
 use crate::calls::pick::PickedTarget;
 use crate::calls::{service_unavailable, ClientAnswer, BAD_GATEWAY};
-use crate::logging::LineWeight;
+use crate::logging::LinePriority;
 
 /// Minimum time after which a client should retry a call that is held back.
 const MIN_HOLD_RETRY_AFTER: Duration = Duration::from_millis(40);
@@ -19,7 +19,9 @@
     /// Logs an attempt that did not end with a successful answer.
     pub(super) fn log_attempt(&self, target: &PickedTarget, end: AttemptEnd, step: NextStep) {
         let now = self.shared.clock.now();
-        if end == AttemptEnd::Answered || !self.shared.lines.takes(LineWeight::Notable, now) {
+        if end == AttemptEnd::Answered
+            || !self.shared.log_limiter.allows(LinePriority::Notable, now)
+        {
             return;
         }
         let view = &target.view;
@@ -54,7 +56,7 @@
         }
         if let Some(remaining_hold) = self.remaining_hold {
             self.log_entry.reason = "held_back";
-            self.shared.metrics.quarantined("refused");
+            self.shared.metrics.record_quarantine_change("refused");
             // Not capped to the time that the caller has left: an earlier retry would be
             // refused as well.
             return service_unavailable(remaining_hold.max(MIN_HOLD_RETRY_AFTER));
--- a/crates/mesh/src/calls/message.rs
+++ b/crates/mesh/src/calls/message.rs
@@ -23,7 +23,7 @@
         .headers
         .time_left
         .map_or(Duration::ZERO, |client_timeout| {
-            shared.note_wait(&route.name, client_timeout)
+            shared.record_client_timeout(&route.name, client_timeout)
         });
     call.received + route.soft_deadline.saturating_sub(elapsed)
 }
@@ -62,7 +62,7 @@
         deadline_us: 0,
         soft_deadline_us: 0,
         priority: call_priority,
-        answer_bytes: shared.usual_answer(&route.name),
+        answer_bytes: shared.average_answer_bytes(&route.name),
         kind: route.name.clone(),
         expected_run_time: shared
             .expected_run_time(&route.name)
--- a/crates/mesh/src/calls/pick.rs
+++ b/crates/mesh/src/calls/pick.rs
@@ -54,7 +54,7 @@
     let settings = Rc::clone(&shared.settings.borrow());
     let service = head.service.as_str();
     let answer_kib = shared
-        .routes
+        .route_stats
         .borrow()
         .get(&route.name)
         .map_or(0.0, |history| history.answer_kib);
@@ -83,7 +83,7 @@
         let occupancy = estimated_occupancy(
             reported,
             sent_since_report,
-            shared.daemons().min(MAX_SHARING_DAEMONS),
+            shared.daemon_count().min(MAX_SHARING_DAEMONS),
         );
         let Some(mut view) = target_view(&status, service, expected_run_time, in_zone, occupancy)
         else {
@@ -106,7 +106,7 @@
         zone_has_target: false,
         is_above_lowest_priority: head.priority < shared.current_index().lowest_priority(),
     };
-    let cross_zone_cost = settings.crossing_cost();
+    let cross_zone_cost = settings.cross_zone_cost();
     let choose = |candidates: Vec<CandidateTarget>| {
         choose_candidate(candidates, tried_hosts, request, &cross_zone_cost)
     };
--- a/crates/mesh/src/feeds.rs
+++ b/crates/mesh/src/feeds.rs
@@ -109,7 +109,7 @@
     /// older copy since the last answer.
     fn update_era(&mut self, shared: &MeshShared) -> bool {
         let era = shared.store.era();
-        shared.note_era(era);
+        shared.handle_store_era(era);
         self.era.replace(era).is_some_and(|before| before != era)
     }
 
@@ -285,7 +285,9 @@
     let is_configuration = subject == FeedSubject::Configuration;
     match query(shared, state).await {
         Ok((next, has_changed)) => {
-            shared.metrics.store_call(subject.label(), "answered");
+            shared
+                .metrics
+                .record_store_call(subject.label(), "answered");
             if state.failures > 0 {
                 log::info!(
                     "event=store_regained subject={subject:?} failures={}",
@@ -307,7 +309,7 @@
             }
         }
         Err(report) => {
-            shared.metrics.store_call(subject.label(), "failed");
+            shared.metrics.record_store_call(subject.label(), "failed");
             if state.failures == 0 {
                 let cause = report.current_context();
                 log::warn!("event=store_lost subject={subject:?} error=\"{cause}\"");
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -26,7 +26,7 @@
 
 use crate::body::MAX_BUFFERED_ANSWER_KIB;
 use crate::egress::EgressPacer;
-use crate::logging::LineBudget;
+use crate::logging::LogRateLimiter;
 use crate::messages::{CallHead, TargetLoad, TargetState, TargetStatus};
 use crate::metrics::MeshMetrics;
 use crate::quarantine::SharedQuarantine;
@@ -75,7 +75,7 @@
     /// Memory for answers that are read from the target faster than their
     /// callers read them; one semaphore permit for each KiB.
     answer_buffer_kib: Arc<Semaphore>,
-    lines: LineBudget,
+    log_limiter: LogRateLimiter,
     clock: Rc<dyn Clock>,
     address: Cell<SocketAddr>,
     drain_time: Cell<Duration>,
@@ -118,7 +118,7 @@
             metrics,
             egress,
             answer_buffer_kib: Arc::new(Semaphore::new(MAX_BUFFERED_ANSWER_KIB)),
-            lines: LineBudget::new(clock.now()),
+            log_limiter: LogRateLimiter::new(clock.now()),
             clock,
             address: Cell::new(settings.target),
             drain_time: Cell::new(settings.times.drain),
--- a/crates/mesh/src/gate/run.rs
+++ b/crates/mesh/src/gate/run.rs
@@ -12,7 +12,7 @@
 use super::wait::Declined;
 use super::{mean_run_time, ActiveRun, Gate};
 use crate::body::{AnswerBody, BufferedBody, CallBody};
-use crate::logging::LineWeight;
+use crate::logging::LinePriority;
 use crate::messages::{to_micros, AnswerHead, CallHead, ReplyHead};
 use crate::quarantine::AgedCrash;
 use crate::rollouts::counters::{CountedOutcome, RunObservation};
@@ -161,8 +161,8 @@
 
     /// Records an answer whose head came `time_to_head` after the start of the run.
     fn record_answer(&self, run: &CallRun<'_>, head: &ResponseHead, time_to_head: Duration) {
-        self.metrics.gate("ran");
-        self.metrics.run(run.waited(), time_to_head);
+        self.metrics.record_gate_verdict("ran");
+        self.metrics.record_run(run.waited(), time_to_head);
         {
             let mut state = self.state.borrow_mut();
             if head.status < FIRST_FAILURE_STATUS {
@@ -179,7 +179,7 @@
     }
 
     fn record_failure(&self, run: &CallRun<'_>, verdict: &'static str, reason: &str) {
-        self.metrics.gate(verdict);
+        self.metrics.record_gate_verdict(verdict);
         self.record_outcome(RunOutcome::Failure);
         self.log_run(run, verdict, reason);
     }
@@ -187,7 +187,7 @@
     /// Records that the target accepted no connection. Returns the reply that
     /// declines the call, as the target did not see it.
     fn record_unreachable(&self, run: &CallRun<'_>, error: &std::io::Error) -> ReplyHead {
-        self.metrics.gate("unreachable");
+        self.metrics.record_gate_verdict("unreachable");
         self.log_run(run, "unreachable", &error.to_string());
         let down_time = self.mark_down();
         self.decline_reply(Declined {
@@ -198,7 +198,7 @@
 
     fn log_run(&self, run: &CallRun<'_>, verdict: &str, reason: &str) {
         let now = self.clock.now();
-        if self.lines.takes(LineWeight::Notable, now) {
+        if self.log_limiter.allows(LinePriority::Notable, now) {
             log::info!(
                 "event=gate_ran request={} call={} instance={} verdict={verdict} reason=\"{reason}\" waited_ms={} ran_ms={}",
                 run.call.id,
@@ -215,11 +215,11 @@
     /// logs each attempt too.
     fn record_decline(&self, call: &CallHead, received: Instant, declined: Declined) {
         let now = self.clock.now();
-        self.metrics.gate(match declined.reason {
+        self.metrics.record_gate_verdict(match declined.reason {
             DeclineReason::Crowded => "crowded",
             DeclineReason::Closed => "closed",
         });
-        if !self.lines.takes(LineWeight::Notable, now) {
+        if !self.log_limiter.allows(LinePriority::Notable, now) {
             return;
         }
         let load = self.load();
@@ -255,8 +255,11 @@
         if remaining.is_zero() {
             return None;
         }
-        self.metrics.gate("held_back");
-        if self.lines.takes(LineWeight::Notable, self.clock.now()) {
+        self.metrics.record_gate_verdict("held_back");
+        if self
+            .log_limiter
+            .allows(LinePriority::Notable, self.clock.now())
+        {
             log::info!(
                 "event=gate_held_back request={} call={} left_ms={}",
                 call.id,
--- a/crates/mesh/src/ingress/mod.rs
+++ b/crates/mesh/src/ingress/mod.rs
@@ -23,7 +23,7 @@
 use crate::small_server::{accept_loop, reason_phrase};
 use crate::sockets;
 use crate::state::MeshShared;
-use crate::stop::CallMark;
+use crate::stop::ActiveCallGuard;
 use crate::target::encode_chunk;
 use bodies::{call_identity, forward_body, read_body};
 
@@ -54,7 +54,7 @@
     id: String,
     is_http11: bool,
     closes_connection: bool,
-    _mark: CallMark,
+    _active_call: ActiveCallGuard,
 }
 
 impl Drop for PendingAnswer {
@@ -156,7 +156,7 @@
         id,
         is_http11,
         closes_connection,
-        _mark: CallMark::new(shared),
+        _active_call: ActiveCallGuard::new(shared),
     });
     state.call_added.notify_one();
 }
@@ -257,7 +257,7 @@
             },
             () = tokio::time::sleep_until(idle_until.into()), if !is_busy => {}
             () = state.answer_written.notified() => {}
-            () = shared.stop.changed.notified() => {}
+            () = shared.stop.phase_changed.notified() => {}
         }
     }
     Ok(())
--- a/crates/mesh/src/news.rs
+++ b/crates/mesh/src/news.rs
@@ -14,7 +14,7 @@
 use crate::body::next_data;
 use crate::links::{LinkError, NEWS_URL, OPEN_TIMEOUT};
 use crate::messages::{decode_next, encode, LinkMessage, TargetState, TargetStatus};
-use crate::metrics::CrossingCause;
+use crate::metrics::CrossZoneCause;
 use crate::peers::Peer;
 use crate::state::MeshShared;
 use crate::version_fetch::VersionFetcher;
@@ -134,7 +134,7 @@
             let bytes = unread - buffer.len();
             unread = buffer.len();
             self.shared
-                .count_crossing(self.peer, cause_of(&message), bytes);
+                .count_cross_zone_bytes(self.peer, cause_of(&message), bytes);
             if !matches!(message, LinkMessage::WrongHost(_)) {
                 self.mark_up();
             }
@@ -207,7 +207,7 @@
     fn send_message(&mut self, message: &LinkMessage) -> Result<(), LinkError> {
         let frame = encode(message);
         self.shared
-            .count_crossing(self.peer, cause_of(message), frame.len());
+            .count_cross_zone_bytes(self.peer, cause_of(message), frame.len());
         self.outgoing
             .send_data(frame, false)
             .map_err(LinkError::Protocol)
@@ -222,11 +222,11 @@
     }
 }
 
-fn cause_of(message: &LinkMessage) -> CrossingCause {
+fn cause_of(message: &LinkMessage) -> CrossZoneCause {
     match message {
-        LinkMessage::Target(_) => CrossingCause::Load,
-        LinkMessage::Suspects(_) => CrossingCause::Suspect,
-        LinkMessage::Rollouts(_) | LinkMessage::TargetReports(_) => CrossingCause::Rollout,
+        LinkMessage::Target(_) => CrossZoneCause::Load,
+        LinkMessage::Suspects(_) => CrossZoneCause::Suspect,
+        LinkMessage::Rollouts(_) | LinkMessage::TargetReports(_) => CrossZoneCause::Rollout,
         LinkMessage::InForce { .. }
         | LinkMessage::RequestVersion { .. }
         | LinkMessage::OversizedVersion
@@ -235,10 +235,10 @@
         | LinkMessage::VersionConfirmation(_)
         | LinkMessage::RequestClock { .. }
         | LinkMessage::StoreClock { .. }
-        | LinkMessage::Version { .. } => CrossingCause::Version,
+        | LinkMessage::Version { .. } => CrossZoneCause::Version,
         LinkMessage::RenewPoolLease
         | LinkMessage::RequestTokens { .. }
-        | LinkMessage::GrantTokens { .. } => CrossingCause::Token,
+        | LinkMessage::GrantTokens { .. } => CrossZoneCause::Token,
         LinkMessage::Hello { .. }
         | LinkMessage::WrongHost(_)
         | LinkMessage::RequestMembers
@@ -247,7 +247,7 @@
         | LinkMessage::HostsChanged(_)
         | LinkMessage::RequestHostUpdates
         | LinkMessage::RequestRowChange { .. }
-        | LinkMessage::Store(_) => CrossingCause::Member,
+        | LinkMessage::Store(_) => CrossZoneCause::Member,
     }
 }
 
--- a/crates/mesh/src/rollouts/mod.rs
+++ b/crates/mesh/src/rollouts/mod.rs
@@ -327,7 +327,7 @@
             record.canaries
         );
         self.metrics
-            .rollout(&record.service, stage_label(record.stage));
+            .record_rollout_stage(&record.service, stage_label(record.stage));
         self.stage_changed.notify_one();
         self.rollouts_changed.notify_waiters();
         if !record.is_written {
--- a/crates/mesh/src/rollouts/row_writer.rs
+++ b/crates/mesh/src/rollouts/row_writer.rs
@@ -145,7 +145,7 @@
     }
     match outcome {
         Ok(TransactionOutcome::Committed { version }) => {
-            shared.metrics.store_call("rollout", "answered");
+            shared.metrics.record_store_call("rollout", "answered");
             log::info!(
                 "event=rollout_written service={service} to={} stage={:?} version={version} {}",
                 stored.record.to,
@@ -156,7 +156,7 @@
             true
         }
         Ok(TransactionOutcome::Conflict(rows)) => {
-            shared.metrics.store_call("rollout", "changed");
+            shared.metrics.record_store_call("rollout", "changed");
             log::info!(
                 "event=rollout_row_changed service={service} expected={} found={:?}",
                 entry.row_version,
@@ -169,7 +169,7 @@
             true
         }
         Err(report) => {
-            shared.metrics.store_call("rollout", "failed");
+            shared.metrics.record_store_call("rollout", "failed");
             log::warn!(
                 "event=rollout_unwritten service={service} stage={:?} error=\"{}\"",
                 stored.record.stage,
--- a/crates/mesh/src/serve_peers.rs
+++ b/crates/mesh/src/serve_peers.rs
@@ -18,7 +18,7 @@
 use crate::messages::{decode_next, encode, CallHead, ReplyHead};
 use crate::sockets;
 use crate::state::MeshShared;
-use crate::stop::CallMark;
+use crate::stop::ActiveCallGuard;
 use news::{news_path, serve_news};
 
 /// Maximum number of streams that a peer may have open on a link.
@@ -89,7 +89,7 @@
     request: Request<RecvStream>,
     mut respond: SendResponse<Bytes>,
 ) -> Result<(), LinkError> {
-    let _mark = CallMark::new(&shared);
+    let _active_call = ActiveCallGuard::new(&shared);
     let mut incoming = request.into_body();
     let mut buffer = BytesMut::new();
     let call: CallHead = loop {
--- a/crates/mesh/src/shell.rs
+++ b/crates/mesh/src/shell.rs
@@ -1,4 +1,4 @@
-//! Starts the daemon's parts and sees a planned stop through.
+//! Starts the daemon's tasks and runs them until a planned stop.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -19,7 +19,7 @@
 
 use crate::egress::EgressPacer;
 use crate::gate::Gate;
-use crate::logging::LineBudget;
+use crate::logging::LogRateLimiter;
 use crate::members::MemberTable;
 use crate::metrics::MeshMetrics;
 use crate::organisations::OrganisationState;
@@ -35,12 +35,12 @@
     sockets, status, stop,
 };
 
-/// Why the daemon stopped other than by a planned stop.
+/// Why the daemon ended other than by a planned stop.
 #[derive(Debug)]
 pub enum MeshError {
-    /// A port could not be bound.
+    /// The daemon could not listen on an address.
     Listen,
-    /// A signal could not be watched.
+    /// A signal handler could not be installed.
     Signals,
 }
 
@@ -48,17 +48,18 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             MeshError::Listen => "could not start listening",
-            MeshError::Signals => "could not watch signals",
+            MeshError::Signals => "could not install signal handlers",
         })
     }
 }
 
 impl std::error::Error for MeshError {}
 
-/// Time a call to the store may take. Its answers take 4 ms, and some hundred
-/// times as long when it is slow; a lost answer is noticed after this.
+/// Timeout of requests to the store. Its responses take 4 ms, or about a hundred times as
+/// long when it is slow. A lost response is noticed after this time.
 const STORE_TIMEOUT: Duration = Duration::from_secs(1);
 
+/// Listening sockets of the daemon.
 struct Listeners {
     calls: TcpListener,
     peers: TcpListener,
@@ -67,16 +68,18 @@
     metrics: Option<TcpListener>,
 }
 
+/// Listens on `address`. `port` names its use in the error report.
 fn bind(port: &'static str, address: SocketAddr) -> Result<TcpListener, Report<MeshError>> {
     sockets::listen(address)
         .change_context(MeshError::Listen)
         .attach(format!("{port} port {address}"))
 }
 
-/// Runs the daemon until a planned stop.
+/// Runs the daemon with `settings` until a planned stop. Changes of the settings file at
+/// `path` are applied while the daemon runs.
 ///
 /// # Errors
-/// [`MeshError`] when a port cannot be bound or a signal not be watched.
+/// [`MeshError`] if the daemon cannot listen on an address or install a signal handler.
 pub async fn run(settings: MeshSettings, path: PathBuf) -> Result<(), Report<MeshError>> {
     let listeners = Listeners {
         calls: bind("calls", settings.listen.calls)?,
@@ -102,13 +105,14 @@
     local
         .run_until(async move {
             start(&shared, listeners, path);
-            stop::see_through(shared)
+            stop::drain_on_signal(shared)
                 .await
                 .change_context(MeshError::Signals)
         })
         .await
 }
 
+/// Creates the state that the daemon's tasks share.
 fn build(settings: MeshSettings) -> Rc<MeshShared> {
     let clock: Rc<dyn Clock> = Rc::new(SystemClock);
     let now = clock.now();
@@ -127,7 +131,7 @@
     let organisations = OrganisationState::new(&settings, Rc::clone(&clock));
     Rc::new(MeshShared {
         store: StoreClient::new(&settings.store, STORE_TIMEOUT, Arc::new(SystemClock)),
-        budget: RefCell::new(RetryBudget::new(settings.retry_budget_limits(), now)),
+        retry_budget: RefCell::new(RetryBudget::new(settings.retry_budget_limits(), now)),
         settings: RefCell::new(Rc::new(settings)),
         versions: VersionState::default(),
         members: MemberTable::default(),
@@ -137,10 +141,10 @@
         quarantine,
         rollouts,
         organisations,
-        dealer: RefCell::new(WeightedRoundRobin::default()),
-        routes: RefCell::new(HashMap::new()),
+        weighted_round_robin: RefCell::new(WeightedRoundRobin::default()),
+        route_stats: RefCell::new(HashMap::new()),
         metrics,
-        lines: LineBudget::new(now),
+        log_limiter: LogRateLimiter::new(now),
         store_returned: tokio::sync::Notify::new(),
         store_era: Cell::new(None),
         stop: StopState::default(),
@@ -149,6 +153,7 @@
     })
 }
 
+/// Starts the daemon's tasks on the current `LocalSet`.
 fn start(shared: &Rc<MeshShared>, listeners: Listeners, path: PathBuf) {
     let spawn = |task: std::pin::Pin<Box<dyn Future<Output = ()>>>| {
         tokio::task::spawn_local(task);
@@ -164,7 +169,7 @@
         listeners.peers,
     )));
     spawn(Box::pin(Rc::clone(&shared.gate).run_queue_expiry()));
-    spawn(Box::pin(status::keep_told(Rc::clone(shared))));
+    spawn(Box::pin(status::send_updates(Rc::clone(shared))));
     spawn(Box::pin(quarantine::send_updates(Rc::clone(shared))));
     spawn(Box::pin(rollouts::replication::send_updates(Rc::clone(
         shared,
@@ -195,7 +200,7 @@
     }
     let shared = Rc::clone(shared);
     spawn(Box::pin(async move {
-        if let Err(error) = reload::keep_reloaded(shared, path).await {
+        if let Err(error) = reload::watch_settings_file(shared, path).await {
             log::error!("event=reload_unwatched error=\"{error}\"");
         }
     }));
