--- a/crates/mesh/src/ingress/bodies.rs
+++ b/crates/mesh/src/ingress/bodies.rs
@@ -27,7 +27,7 @@
             Ok(Some(data)) => body.extend_from_slice(&data),
             Ok(None) => return Ok(Bytes::from(body)),
             Err(ReadError::Body(filbert_http1::BodyError::BadChunk)) => {
-                return Err(ReadEnd::Final(Some(BAD_REQUEST)))
+                return Err(ReadEnd::CloseAfterAnswers(Some(BAD_REQUEST)))
             }
             Err(_) => return Err(ReadEnd::Disconnected),
         }
@@ -38,9 +38,13 @@
 /// prefix and all later data.
 pub(super) type UnsentBody = (Bytes, mpsc::Sender<Bytes>);
 
-/// Reads the part of a body that is read before its call is dispatched. A long body
-/// is returned as streamed, with its unsent prefix; [`forward_body`] then has to send
-/// the prefix and the rest.
+/// Reads a body as far as is needed before its call is dispatched: completely if
+/// possible within [`MAX_REPLAYABLE_BODY_BYTES`]. A longer body is returned as
+/// streamed, with its unsent prefix; the caller then has to pass the prefix to
+/// [`forward_body`], which sends it and the rest.
+///
+/// # Errors
+/// The reason why the body cannot be read.
 pub(super) async fn read_body(
     reader: &mut MessageReader<OwnedReadHalf>,
     decoder: &mut BodyDecoder,
@@ -56,6 +60,8 @@
     }
 }
 
+/// Computes the identity of a call. Of the body, it covers the bytes read so far and
+/// the length, if known.
 pub(super) fn call_identity(
     head: &RequestHead,
     host: &str,
@@ -77,8 +83,8 @@
     })
 }
 
-/// Reads up to [`MAX_REPLAYABLE_BODY_BYTES`] of a body. A body that ends before that
-/// is returned complete, a longer one as [`read_body`] describes.
+/// Reads a body up to [`MAX_REPLAYABLE_BODY_BYTES`]. A body that ends within this
+/// length is returned complete, a longer one as streamed, with its unsent prefix.
 async fn read_prefix(
     reader: &mut MessageReader<OwnedReadHalf>,
     decoder: &mut BodyDecoder,
@@ -89,7 +95,7 @@
             Ok(Some(data)) => prefix.extend_from_slice(&data),
             Ok(None) => return Ok((CallBody::Whole(Bytes::from(prefix)), None)),
             Err(ReadError::Body(filbert_http1::BodyError::BadChunk)) => {
-                return Err(ReadEnd::Final(Some(BAD_REQUEST)))
+                return Err(ReadEnd::CloseAfterAnswers(Some(BAD_REQUEST)))
             }
             Err(_) => return Err(ReadEnd::Disconnected),
         }
@@ -112,8 +118,9 @@
     max_bytes: u64,
 ) -> Result<(), ReadEnd> {
     let mut total_bytes = prefix.len() as u64;
-    // A call that is answered early reads no more of its body. The rest is read and
-    // discarded, so that the next call on the connection can be read.
+    // The receiver is closed if the call is answered before its body was sent. The
+    // rest of the body is then read and discarded, so that the next call on the
+    // connection can be read.
     let mut is_receiver_open = sender.send(prefix).await.is_ok();
     loop {
         match reader.read_body_data(decoder).await {
--- a/crates/mesh/src/ingress/mod.rs
+++ b/crates/mesh/src/ingress/mod.rs
@@ -58,7 +58,8 @@
 }
 
 impl Drop for PendingAnswer {
-    /// Cancels the call if its client has disconnected.
+    /// Aborts the task, which is still running only if the connection has ended
+    /// before the answer was written.
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -67,10 +68,11 @@
 /// State shared by the reader and the writer of a connection.
 struct ConnectionState {
     pending: RefCell<VecDeque<PendingAnswer>>,
-    /// Wakes the writer when a call has been added.
+    /// Wakes the writer when a call has been added or the input was closed.
     call_added: Notify,
     /// Wakes the reader when an answer has been written.
     answer_written: Notify,
+    /// Time at which the last head was read or the last answer was written.
     last_active: std::cell::Cell<Instant>,
     /// Whether no further call will be read.
     is_input_closed: std::cell::Cell<bool>,
@@ -88,20 +90,21 @@
     };
     let mut reader = MessageReader::new(read);
     let mut writer = write;
-    let is_closed_locally = tokio::select! {
+    let has_written_last_answer = tokio::select! {
         () = read_calls(&shared, &state, &mut reader) => false,
         result = write_answers(&shared, &state, &mut writer) => result.is_ok(),
     };
-    // The client of all calls that are still running has disconnected.
+    // Aborts the calls that are still running: the client has disconnected, or
+    // writing an answer failed.
     state.pending.borrow_mut().clear();
-    if is_closed_locally && writer.shutdown().await.is_ok() {
+    if has_written_last_answer && writer.shutdown().await.is_ok() {
         let discard_input = async {
             while let Ok(true) = reader.fill().await {
                 reader.discard_buffered();
             }
         };
-        // After the timeout the client gets a reset at worst. Its answer has been
-        // sent by then.
+        // If the client is still sending after the timeout, closing the connection
+        // resets it. The last answer has been sent by then.
         let _ = tokio::time::timeout(LINGER_TIMEOUT, discard_input).await;
     }
 }
@@ -112,28 +115,29 @@
     Disconnected,
     /// The connection is closed after the pending answers and, if there is a status,
     /// after a local reply with this status.
-    Final(Option<u16>),
+    CloseAfterAnswers(Option<u16>),
 }
 
-/// Reads calls until the client disconnects.
+/// Reads calls until no further call may follow, then discards input. Returns
+/// when the client has disconnected or its input cannot be read any further.
 async fn read_calls(
     shared: &Rc<MeshShared>,
     state: &ConnectionState,
     reader: &mut MessageReader<OwnedReadHalf>,
 ) {
     let end = loop {
-        match read_call(shared, state, reader).await {
+        match read_next_call(shared, state, reader).await {
             Ok(true) => {}
-            Ok(false) => break ReadEnd::Final(None),
+            Ok(false) => break ReadEnd::CloseAfterAnswers(None),
             Err(end) => break end,
         }
     };
-    let ReadEnd::Final(status) = end else {
+    let ReadEnd::CloseAfterAnswers(status) = end else {
         return;
     };
     if let Some(status) = status {
         let answer = async move { ClientAnswer::local(status) };
-        push_pending(shared, state, answer, String::new(), true, true);
+        spawn_answer(shared, state, answer, String::new(), true, true);
     }
     state.is_input_closed.set(true);
     state.call_added.notify_one();
@@ -143,7 +147,8 @@
     }
 }
 
-fn push_pending(
+/// Spawns the task that produces an answer, and queues the answer for the writer.
+fn spawn_answer(
     shared: &Rc<MeshShared>,
     state: &ConnectionState,
     answer: impl std::future::Future<Output = ClientAnswer> + 'static,
@@ -161,12 +166,13 @@
     state.call_added.notify_one();
 }
 
-/// Reads one call and starts to handle it. Returns whether further calls may follow
-/// on the connection.
+/// Reads one call and starts to handle it as soon as its head and the first part of
+/// its body are read. Returns, after the end of the body, whether further calls may
+/// follow on the connection.
 ///
 /// # Errors
 /// The reason why no further call is read.
-async fn read_call(
+async fn read_next_call(
     shared: &Rc<MeshShared>,
     state: &ConnectionState,
     reader: &mut MessageReader<OwnedReadHalf>,
@@ -181,22 +187,22 @@
     {
         Ok(Ok(Some(raw))) => raw,
         Ok(Err(ReadError::HeadTooLong)) => {
-            return Err(ReadEnd::Final(Some(HEADER_FIELDS_TOO_LARGE)))
+            return Err(ReadEnd::CloseAfterAnswers(Some(HEADER_FIELDS_TOO_LARGE)))
         }
         Ok(Ok(None) | Err(_)) => return Err(ReadEnd::Disconnected),
-        Err(_) => return Err(ReadEnd::Final(Some(REQUEST_TIMEOUT))),
+        Err(_) => return Err(ReadEnd::CloseAfterAnswers(Some(REQUEST_TIMEOUT))),
     };
     let received = shared.clock.now();
     state.last_active.set(received);
     let head = match RequestHead::parse(&raw) {
         Ok(head) => head,
         Err(HeadError::Malformed | HeadError::AmbiguousLength) => {
-            return Err(ReadEnd::Final(Some(BAD_REQUEST)))
+            return Err(ReadEnd::CloseAfterAnswers(Some(BAD_REQUEST)))
         }
     };
     let length = head.framing.length();
     if length.is_some_and(|length| length > limits.body_bytes) {
-        return Err(ReadEnd::Final(Some(CONTENT_TOO_LARGE)));
+        return Err(ReadEnd::CloseAfterAnswers(Some(CONTENT_TOO_LARGE)));
     }
     let call_headers = headers::read_call(&head);
     let keep_alive = head.keep_alive;
@@ -216,7 +222,7 @@
     };
     let shared_call = Rc::clone(shared);
     let answer = async move { calls::handle_call(&shared_call, call).await };
-    push_pending(shared, state, answer, id, is_http11, !keep_alive);
+    spawn_answer(shared, state, answer, id, is_http11, !keep_alive);
     if let Some((prefix, body_sender)) = unsent {
         forward_body(
             reader,
@@ -243,12 +249,12 @@
     while !reader.has_buffered_bytes() {
         let is_busy = !state.pending.borrow().is_empty();
         if shared.stop.is_closing() && !is_busy {
-            return Err(ReadEnd::Final(None));
+            return Err(ReadEnd::CloseAfterAnswers(None));
         }
         let idle_timeout = shared.current_index().limits().idle_timeout;
         let idle_until = state.last_active.get() + idle_timeout;
         if !is_busy && shared.clock.now() >= idle_until {
-            return Err(ReadEnd::Final(None));
+            return Err(ReadEnd::CloseAfterAnswers(None));
         }
         tokio::select! {
             filled = reader.fill() => match filled {
@@ -263,7 +269,11 @@
     Ok(())
 }
 
-/// Writes answers in the order of their calls. Returns after the last one.
+/// Writes answers in the order of their calls. Returns after the answer that closes
+/// the connection, or after all pending answers once the input is closed.
+///
+/// # Errors
+/// The error of a write, or of an answer's body that is truncated.
 async fn write_answers(
     shared: &Rc<MeshShared>,
     state: &ConnectionState,
@@ -307,7 +317,7 @@
     answer: ClientAnswer,
     closes_connection: bool,
 ) -> std::io::Result<()> {
-    let connection = if closes_connection {
+    let connection_line = if closes_connection {
         "Connection: close\r\n"
     } else {
         ""
@@ -318,28 +328,38 @@
             retry_after,
         } => {
             let text = format!(
-                "HTTP/1.1 {status} {}\r\n{}Content-Length: 0\r\n{connection}\r\n",
+                "HTTP/1.1 {status} {}\r\n{}Content-Length: 0\r\n{connection_line}\r\n",
                 reason_phrase(status),
                 headers::local_reply_header_lines(&pending.id, retry_after)
             );
             writer.write_all(text.as_bytes()).await
         }
         ClientAnswer::Target(head, body) => {
-            write_target_answer(egress, writer, &head, body, connection, pending.is_http11).await
+            write_target_answer(
+                egress,
+                writer,
+                &head,
+                body,
+                connection_line,
+                pending.is_http11,
+            )
+            .await
         }
     }
 }
 
-/// Time within which an answer to a client of this host should be sent. The call's
-/// own deadline was already checked.
-const MAX_SEND_TIME: Duration = Duration::from_secs(3);
+/// Time from the answer's first byte within which an answer to a client should be
+/// sent; the pacer treats the answer as urgent when this time runs out. The call's
+/// deadline does not apply here: it limits the time until the answer is returned to
+/// this connection.
+const CLIENT_SEND_TIME: Duration = Duration::from_secs(3);
 
 async fn write_target_answer(
     egress: &EgressPacer,
     writer: &mut OwnedWriteHalf,
     head: &AnswerHead,
     mut body: AnswerBody,
-    connection: &str,
+    connection_line: &str,
     is_http11: bool,
 ) -> std::io::Result<()> {
     let length = match &body {
@@ -355,15 +375,16 @@
     let mut first_bytes = format!("HTTP/1.1 {} {}\r\n", head.status, head.reason).into_bytes();
     first_bytes.extend_from_slice(&head.lines);
     first_bytes.extend_from_slice(framing.as_bytes());
-    first_bytes.extend_from_slice(connection.as_bytes());
+    first_bytes.extend_from_slice(connection_line.as_bytes());
     first_bytes.extend_from_slice(b"\r\n");
     if let AnswerBody::Whole(whole) = &mut body {
         first_bytes.extend_from_slice(&std::mem::take(whole));
     }
-    // Answers to clients use the host's link as well. On a host whose target sends
-    // long answers, they compete with its answers to other hosts.
+    // Answers to clients are paced too, as they leave over the same link as the
+    // target's answers to other hosts. If the target sends long answers, both
+    // compete for the link.
     let mut remaining = length.unwrap_or(0);
-    let due = egress.now() + MAX_SEND_TIME;
+    let due = egress.now() + CLIENT_SEND_TIME;
     egress.pace(first_bytes.len() as u64, remaining, due).await;
     writer.write_all(&first_bytes).await?;
     loop {
