--- a/crates/mesh/src/calls/access_log.rs
+++ b/crates/mesh/src/calls/access_log.rs
@@ -5,8 +5,8 @@
 use filbert_policy::identity::CallIdentity;
 
 use super::{
-    ClientAnswer, ClientCall, GATEWAY_TIMEOUT, MIN_SERVER_ERROR, NOT_FOUND, SERVICE_UNAVAILABLE,
-    TOO_MANY_REQUESTS, UNAUTHORIZED,
+    ClientAnswer, ClientCall, GATEWAY_TIMEOUT, MIN_SERVER_ERROR_STATUS, NOT_FOUND,
+    SERVICE_UNAVAILABLE, TOO_MANY_REQUESTS, UNAUTHORIZED,
 };
 use crate::logging::LineWeight;
 use crate::state::MeshShared;
@@ -16,25 +16,29 @@
     id: String,
     identity: CallIdentity,
     received: Instant,
-    version: u64,
+    /// Number of the configuration version by which the call was routed.
+    config_version: u64,
     pub(super) route: String,
     pub(super) service: String,
     pub(super) organisation: String,
     pub(super) host: String,
+    /// Version of the target's software.
     pub(super) software: String,
     pub(super) attempts: u32,
     pub(super) declines: u32,
+    /// Time from the receipt of the call to its soft deadline; 0 until the call is
+    /// dispatched.
     pub(super) soft_deadline_ms: u128,
     pub(super) reason: &'static str,
 }
 
 impl AccessLogEntry {
-    pub(super) fn new(call: &ClientCall, version: u64) -> AccessLogEntry {
+    pub(super) fn new(call: &ClientCall, config_version: u64) -> AccessLogEntry {
         AccessLogEntry {
             id: call.headers.id.clone(),
             identity: call.identity,
             received: call.received,
-            version,
+            config_version,
             route: String::new(),
             service: String::new(),
             organisation: String::new(),
@@ -53,7 +57,7 @@
         let now = shared.clock.now();
         let elapsed = now.saturating_duration_since(self.received);
         let (outcome, status, retry_after) = match answer {
-            ClientAnswer::Target(head, _) if head.status >= MIN_SERVER_ERROR => {
+            ClientAnswer::Target(head, _) if head.status >= MIN_SERVER_ERROR_STATUS => {
                 ("target_failed", head.status, None)
             }
             ClientAnswer::Target(head, _) => ("answered", head.status, None),
@@ -89,7 +93,7 @@
             self.reason,
             self.route,
             self.service,
-            self.version,
+            self.config_version,
             self.host,
             self.attempts,
             self.declines,
--- a/crates/mesh/src/calls/admit.rs
+++ b/crates/mesh/src/calls/admit.rs
@@ -21,9 +21,9 @@
 /// the same moment.
 const QUOTA_RETRY_JITTER: f64 = 0.5;
 
-/// Sets the organisation of `call` and takes a quota token for it. Returns `None`
-/// if the call needs no token: its route is public, it belongs to no organisation,
-/// or its organisation has no quota.
+/// Sets the organisation of `call` and takes a quota token for it, for which it may
+/// wait until `deadline`. Returns `None` if the call needs no token: its route is
+/// public, it belongs to no organisation, or its organisation has no quota.
 ///
 /// # Errors
 /// The answer to a call that is not admitted.
@@ -61,7 +61,7 @@
                 shared.metrics.keyed("over_quota");
                 organisations.counts.over_quota(&organisation.name);
                 log_entry.reason = "over_quota";
-                return Err(over_quota(next_token_in));
+                return Err(over_quota_answer(next_token_in));
             }
         }
     };
@@ -71,7 +71,8 @@
     Ok(token)
 }
 
-fn over_quota(next_token_in: Duration) -> ClientAnswer {
+/// Creates the answer to a call over quota, with jitter on its retry time.
+fn over_quota_answer(next_token_in: Duration) -> ClientAnswer {
     let jitter_factor = 1.0 + QUOTA_RETRY_JITTER * rand::rng().random::<f64>();
     ClientAnswer::Local {
         status: TOO_MANY_REQUESTS,
--- a/crates/mesh/src/calls/attempt.rs
+++ b/crates/mesh/src/calls/attempt.rs
@@ -20,9 +20,9 @@
 use crate::serve_peers::send_body_data;
 use crate::state::MeshShared;
 
-/// Number of bytes of an answer's body that are read before its head is forwarded.
-/// Until then the answer of another attempt can replace it if its body is
-/// truncated. The limit covers the complete answers of all calls but downloads.
+/// Number of bytes of an answer's body that are read before the answer's head is
+/// forwarded. If the body is truncated within these bytes, the call can be retried and
+/// get the answer of another attempt. All answers except downloads are shorter.
 const READ_AHEAD_BYTES: usize = 32 * 1024;
 /// Time after which a call without an answer requests a PING on its link, if
 /// nothing else was received over the link in that time either.
@@ -79,7 +79,12 @@
     let destination = target.destination.clone();
     RunningAttempt {
         host: target.host.clone(),
-        outcome: Box::pin(attempt(Rc::clone(shared), destination, head.clone(), body)),
+        outcome: Box::pin(run_attempt(
+            Rc::clone(shared),
+            destination,
+            head.clone(),
+            body,
+        )),
     }
 }
 
@@ -89,8 +94,8 @@
     poll_fn(|context| {
         for index in 0..attempts.len() {
             if let Poll::Ready(outcome) = attempts[index].outcome.as_mut().poll(context) {
-                let ended = attempts.swap_remove(index);
-                return Poll::Ready((ended.host, outcome));
+                let attempt = attempts.swap_remove(index);
+                return Poll::Ready((attempt.host, outcome));
             }
         }
         Poll::Pending
@@ -98,7 +103,8 @@
     .await
 }
 
-async fn attempt(
+/// Runs a call at `destination` and reads ahead in its answer.
+async fn run_attempt(
     shared: Rc<MeshShared>,
     destination: Destination,
     head: CallHead,
--- a/crates/mesh/src/calls/dispatch.rs
+++ b/crates/mesh/src/calls/dispatch.rs
@@ -16,22 +16,23 @@
 use super::attempt::{first_outcome, start_attempt, AttemptOutcome, RunningAttempt};
 use super::message::{estimate_soft_deadline, into_call_parts, ReplayBody};
 use super::pick::{pick_target, Destination, PickedTarget};
-use super::{ClientAnswer, ClientCall, MIN_SERVER_ERROR};
+use super::{ClientAnswer, ClientCall, MIN_SERVER_ERROR_STATUS};
 use crate::body::AnswerBody;
 use crate::messages::{to_micros, AnswerHead, CallHead};
 use crate::quarantine::ProbePermit;
 use crate::state::MeshShared;
 use ending::attempt_end_label;
 
-/// Number of targets that may decline a call before it is refused. Each costs a
-/// round trip but no run. If the best few targets have no capacity, the others
-/// have none either.
+/// Maximum number of targets that decline a call before it is refused. A decline
+/// costs a round trip but no run. If the best few targets have no capacity, the
+/// others have none either.
 const MAX_DECLINES: u32 = 4;
 /// Minimum time left before the deadline for another attempt. A target that gets a
 /// call with less time cannot complete it: the fastest usual runs take longer than
 /// this.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(20);
-/// Time after which a client should retry if the service has no open target.
+/// Time after which a client should retry if the service has no open target. Also
+/// stands in for the expected run time of a call where it is not known.
 const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Maximum time to wait for the first link to a target of a service that was not
@@ -68,7 +69,8 @@
     /// Latest failure answer of a target, returned if no retry is answered.
     failed_answer: Option<(AnswerHead, AnswerBody)>,
     last_end: Option<AttemptEnd>,
-    /// Permit of this call if it is the only probe of a suspect call identity.
+    /// Permit for the probe, if the quarantine lets this call run as the only probe
+    /// of its identity.
     probe: Option<ProbePermit>,
     /// Remaining time for which the quarantine holds the call back, if it does.
     remaining_hold: Option<Duration>,
@@ -123,9 +125,9 @@
 
     /// Tries targets until one answers or no attempt is left.
     pub(super) async fn run(mut self) -> ClientAnswer {
-        // Attempts over links that became unresponsive. They continue next to later
-        // attempts: a target that is merely slow may still answer first, and the
-        // call does not end while a target may be running it.
+        // Attempts over links that became unresponsive. They continue in parallel
+        // with later attempts: a target that is merely slow may still answer first, and
+        // the call does not end while a target may be running it.
         let mut stalled_attempts = Vec::new();
         if !self.passes_quarantine() {
             return self.finish(stalled_attempts).await;
@@ -173,7 +175,7 @@
                         time_to_head,
                     },
                 ) => {
-                    if head.status < MIN_SERVER_ERROR {
+                    if head.status < MIN_SERVER_ERROR_STATUS {
                         let body_length = head.body_length.unwrap_or(0);
                         self.shared
                             .note_answer(&self.route.name, body_length, time_to_head);
@@ -193,8 +195,9 @@
     }
 
     /// Returns whether the quarantine lets the call run now. Starts the probe of a
-    /// suspect call if that is allowed. Checked before each attempt, since a hold may
-    /// have started during the previous one.
+    /// suspect call if that is allowed, and sets `remaining_hold` if the call is held
+    /// back. Checked before each attempt, since a hold may have started during the
+    /// previous one.
     fn passes_quarantine(&mut self) -> bool {
         let quarantine = &self.shared.quarantine;
         let expected_run_time = self.head.expected_run_time.map(RunTime::from);
@@ -283,11 +286,12 @@
         self.final_answer()
     }
 
-    /// Records how an attempt ended.
+    /// Records the outcome of an attempt, and returns it without the answer, as the
+    /// retry policy needs it.
     fn record_outcome(&mut self, target: &PickedTarget, outcome: &AttemptOutcome) -> AttemptEnd {
         self.tried_hosts.push(target.host.clone());
         let end = match outcome {
-            AttemptOutcome::Answer { head, .. } if head.status >= MIN_SERVER_ERROR => {
+            AttemptOutcome::Answer { head, .. } if head.status >= MIN_SERVER_ERROR_STATUS => {
                 AttemptEnd::AnsweredFailure
             }
             AttemptOutcome::Answer { .. } => AttemptEnd::Answered,
@@ -328,12 +332,14 @@
         )
     }
 
+    /// Returns which further attempts are allowed after `delivered_attempts` attempts
+    /// that may have reached a target.
     fn retry_allowance(&self, delivered_attempts: u32) -> RetryAllowance {
         let now = self.shared.clock.now();
         let time_left = self.deadline.saturating_duration_since(now);
         RetryAllowance {
-            // A call during which two targets in a row crashed is not sent to a third
-            // one automatically.
+            // A suspect, a call during whose runs two targets have crashed since its last
+            // success, is not sent to a third one by a daemon.
             repeatable: self.route.kind.is_repeatable() && !self.is_suspect(),
             may_have_run: self.progress.may_have_run.get(),
             has_other_target: self.declines < MAX_DECLINES
--- a/crates/mesh/src/calls/dispatch/ending.rs
+++ b/crates/mesh/src/calls/dispatch/ending.rs
@@ -1,4 +1,5 @@
-//! Log lines on attempts, and the answer to a call that is not retried.
+//! Log lines on attempts, and the answer to a call for which no further attempt is
+//! made.
 
 use std::time::Duration;
 
@@ -55,7 +56,7 @@
         if let Some(remaining_hold) = self.remaining_hold {
             self.log_entry.reason = "held_back";
             self.shared.metrics.quarantined("refused");
-            // Not capped to the time that the caller has left: an earlier retry would be
+            // Not capped to the time that the client has left: an earlier retry would be
             // refused as well.
             return service_unavailable(remaining_hold.max(MIN_HOLD_RETRY_AFTER));
         }
--- a/crates/mesh/src/calls/message.rs
+++ b/crates/mesh/src/calls/message.rs
@@ -12,8 +12,9 @@
 use crate::messages::{CallHead, ExpectedRunTime};
 use crate::state::MeshShared;
 
-/// Soft deadline of a call, counted from the client's first attempt. For a client
-/// that sends no timeout, the first attempt is assumed to be this one.
+/// Estimates the soft deadline of a call. It counts from the client's first request,
+/// of which `call` may be a retry: the time that has passed since is estimated from
+/// the client's timeout. A call without a timeout is assumed not to be a retry.
 pub(super) fn estimate_soft_deadline(
     shared: &MeshShared,
     route: &RouteRule,
@@ -29,6 +30,7 @@
 }
 
 /// Converts a call to the head that its attempts send to `service`, and its body.
+/// Both deadlines in the head are 0; they have to be set for each attempt.
 pub(super) fn into_call_parts(
     shared: &MeshShared,
     route: &RouteRule,
@@ -72,7 +74,7 @@
 }
 
 /// Provides each attempt with the call's body. Only a complete body can be
-/// replayed; a streamed body is given to the first attempt.
+/// replayed; a streamed body is given to the first attempt only.
 pub(super) struct ReplayBody {
     whole: Option<Bytes>,
     streamed: Option<CallBody>,
--- a/crates/mesh/src/calls/mod.rs
+++ b/crates/mesh/src/calls/mod.rs
@@ -26,12 +26,13 @@
 use dispatch::{CallDispatch, CallProgress};
 
 /// Time subtracted from a client's timeout for the network between the client
-/// and this daemon: the timeout began before the call was read, and the answer
-/// must reach the client before it expires. The one-way delay of the farthest
-/// clients is 8 ms.
+/// and this daemon. The client starts its timeout before this daemon reads the
+/// call, and must receive the answer before the timeout expires. The one-way
+/// delay of the farthest clients is 8 ms.
 const CLIENT_NETWORK_MARGIN: Duration = Duration::from_millis(20);
 /// Time after which a client should retry if the daemon has no configuration yet,
-/// or if a call's deadline passed before any attempt.
+/// or if a call's deadline passed while no attempt was in progress and none may
+/// have run the call.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 const UNAUTHORIZED: u16 = 401;
@@ -40,8 +41,8 @@
 const BAD_GATEWAY: u16 = 502;
 const SERVICE_UNAVAILABLE: u16 = 503;
 const GATEWAY_TIMEOUT: u16 = 504;
-/// Lowest status of an answer that counts as a failure of the target.
-const MIN_SERVER_ERROR: u16 = 500;
+/// Lowest status code of an answer that counts as a failure of the target.
+const MIN_SERVER_ERROR_STATUS: u16 = 500;
 
 /// A client's call.
 #[derive(Debug)]
--- a/crates/mesh/src/calls/pick.rs
+++ b/crates/mesh/src/calls/pick.rs
@@ -43,8 +43,8 @@
     pub(super) candidate_count: usize,
 }
 
-/// Chooses the best target for a call on a host that is not among `tried_hosts`.
-/// Returns `None` if no target can run the call.
+/// Chooses the best target for a call. Targets on `tried_hosts` are left out. Returns
+/// `None` if no other target can run the call.
 pub(super) fn pick_target(
     shared: &Rc<MeshShared>,
     route: &RouteRule,
@@ -103,6 +103,7 @@
         transfer_kib,
         soft_deadline_ms: micros_to_millis(head.soft_deadline_us),
         deadline_ms: micros_to_millis(head.deadline_us),
+        // Set by `choose_candidate`.
         zone_has_target: false,
         is_above_lowest_priority: head.priority < shared.current_index().lowest_priority(),
     };
@@ -119,8 +120,7 @@
     match preference.version_preference {
         VersionPreference::NewOnly => choose(new),
         VersionPreference::OldOnly => choose(old),
-        // A retry goes to the old version: the first attempt has already preferred
-        // the new one.
+        // Only the first attempt prefers the new version; a retry goes to the old one.
         VersionPreference::PreferNew if !tried_hosts.is_empty() => choose(old),
         VersionPreference::PreferNew => choose(new).or_else(|| choose(old)),
     }
@@ -141,9 +141,8 @@
     mut request: PlacementRequest,
     cross_zone_cost: &CrossZoneCost,
 ) -> Option<PickedTarget> {
-    let is_staying_in_zone =
-        |target: &CandidateTarget| target.view.in_zone && !target.view.is_leaving;
-    request.zone_has_target = candidates.iter().any(is_staying_in_zone);
+    let is_open_in_zone = |target: &CandidateTarget| target.view.in_zone && !target.view.is_leaving;
+    request.zone_has_target = candidates.iter().any(is_open_in_zone);
     candidates.retain(|target| !tried_hosts.contains(&target.host));
     let views: Vec<TargetView> = candidates.iter().map(|target| target.view).collect();
     let index = choose_target(&views, &request, cross_zone_cost, &mut rand::rng())?;
@@ -189,12 +188,14 @@
     f64::from(u32::try_from(bytes).unwrap_or(u32::MAX)) / 1024.0
 }
 
-/// Converts microseconds to milliseconds. Calls wait for seconds, which a `u32`
-/// holds; larger values are capped.
+/// Converts microseconds to milliseconds. Values beyond `u32::MAX` microseconds, more
+/// than an hour, are capped; the deadlines of calls are seconds away.
 fn micros_to_millis(micros: u64) -> f64 {
     f64::from(u32::try_from(micros).unwrap_or(u32::MAX)) / 1_000.0
 }
 
+/// Returns the data on a target that the choice is based on; `None` if the target is
+/// closed or belongs to another service.
 fn target_view(
     status: &TargetStatus,
     service: &str,
