--- a/crates/mesh/src/body.rs
+++ b/crates/mesh/src/body.rs
@@ -27,7 +27,7 @@
 /// Source of the data of a streamed call body.
 #[derive(Debug)]
 pub enum BodySource {
-    /// A client on this host. An empty buffer marks the end of the body.
+    /// A client connected to this daemon. An empty buffer marks the end of the body.
     Client(mpsc::Receiver<Bytes>),
     /// Another daemon, over the link to it.
     Link(LinkBody),
@@ -37,8 +37,8 @@
     /// Reads the next data; `None` at the end of the body.
     ///
     /// # Errors
-    /// [`BodyTruncated`] if the sender went away, for a client also if its
-    /// channel closes without the empty buffer that marks the end.
+    /// [`BodyTruncated`] if the client's channel closes without the empty buffer that
+    /// marks the end, or if the link's stream ends early.
     pub async fn next(&mut self) -> Result<Option<Bytes>, BodyTruncated> {
         match self {
             BodySource::Client(queue) => match queue.recv().await {
@@ -56,7 +56,7 @@
 pub struct LinkBody {
     stream: RecvStream,
     buffered: Bytes,
-    /// Keeps the link open until the body has been read.
+    /// Keeps the link open until the body is dropped.
     link_guard: Option<LinkGuard>,
 }
 
@@ -162,8 +162,8 @@
     }
 
     /// Reads ahead until the body is complete or more than `max_bytes` are
-    /// buffered. While an answer is read ahead, the answer of another attempt
-    /// can still replace it if its body is truncated.
+    /// buffered. If the body is truncated before that, nothing of the answer has been
+    /// forwarded, and the call can be retried.
     ///
     /// # Errors
     /// [`BodyTruncated`] if the body ended early.
@@ -191,8 +191,8 @@
 /// Buffered data and the permit for its share of the buffer.
 type BufferedData = (Bytes, OwnedSemaphorePermit);
 
-/// An answer's body that is read from the target as fast as the target sends
-/// it, independent of how fast it is sent on.
+/// An answer's body that is read from the target as fast as the target sends it,
+/// however slowly the body is forwarded to the caller.
 ///
 /// This frees the target's slot as soon as the target has finished. Without it,
 /// answers that waited for a slow link held their slots: with nine slots and
--- a/crates/mesh/src/egress.rs
+++ b/crates/mesh/src/egress.rs
@@ -12,7 +12,8 @@
 pub struct EgressPacer {
     queue: RefCell<EgressQueue>,
     clock: Rc<dyn Clock>,
-    changed: Notify,
+    /// Signals that a chunk was removed from the queue.
+    queue_changed: Notify,
 }
 
 impl EgressPacer {
@@ -22,7 +23,7 @@
         Rc::new(EgressPacer {
             queue: RefCell::new(EgressQueue::new(mbps, clock.now())),
             clock,
-            changed: Notify::new(),
+            queue_changed: Notify::new(),
         })
     }
 
@@ -67,8 +68,8 @@
     }
 
     /// Waits until the next chunk of an answer, `bytes` long, may be sent. The
-    /// answer has `remaining` bytes left, this chunk included, and its caller
-    /// waits until `due`.
+    /// answer has `remaining` bytes left, this chunk included, and should be sent
+    /// completely by `due`.
     pub async fn pace(&self, bytes: u64, remaining: u64, due: Instant) {
         if remaining <= MAX_UNPACED_BYTES {
             let now = self.clock.now();
@@ -81,15 +82,15 @@
             ticket,
         };
         loop {
-            let changed = self.changed.notified();
+            let queue_changed = self.queue_changed.notified();
             let decision = self.queue.borrow_mut().try_send(ticket, self.clock.now());
             match decision {
                 EgressDecision::Send => break,
                 EgressDecision::RetryAt(at) => tokio::select! {
                     () = tokio::time::sleep_until(at.into()) => {}
-                    () = changed => {}
+                    () = queue_changed => {}
                 },
-                EgressDecision::Blocked => changed.await,
+                EgressDecision::Blocked => queue_changed.await,
             }
         }
         drop(queued_chunk);
@@ -109,8 +110,8 @@
     }
 }
 
-/// A chunk in the queue. Dropping it removes the chunk, so that the queue is not
-/// blocked by an answer whose caller has disconnected.
+/// A chunk's place in the queue. Dropping the `QueuedChunk` removes the chunk, so
+/// that an answer whose caller has disconnected does not block the queue.
 struct QueuedChunk<'a> {
     pacer: &'a EgressPacer,
     ticket: EgressTicket,
@@ -119,6 +120,6 @@
 impl Drop for QueuedChunk<'_> {
     fn drop(&mut self) {
         self.pacer.queue.borrow_mut().cancel(self.ticket);
-        self.pacer.changed.notify_waiters();
+        self.pacer.queue_changed.notify_waiters();
     }
 }
--- a/crates/mesh/src/gate/crash.rs
+++ b/crates/mesh/src/gate/crash.rs
@@ -26,18 +26,19 @@
         down_time
     }
 
-    /// Records a crash under `call`, whose run started at `began` and was broken
-    /// off, if the target has ended. Returns the crash for the daemon that sent
-    /// the call; `None` if the target is still up or is leaving.
+    /// Checks whether the target has ended after the connection of a run was lost,
+    /// and if so records a crash for the run's `call`, which started at `started_at`.
+    /// Returns the crash for the daemon that sent the call; `None` if the target is
+    /// still up or is leaving.
     ///
-    /// On the connection, a lost answer and a crash look alike, so this connects
-    /// again: only a target that has ended refuses, or doesn't answer in time. A
-    /// target that is leaving ends as planned, which is no evidence against the
+    /// A lost connection alone does not show a crash, so the check opens another
+    /// one: only a target that has ended refuses it or does not accept it in time.
+    /// A target that is leaving ends as planned, which is no evidence against the
     /// calls that it was running.
     pub(super) async fn record_crash_if_ended(
         &self,
         call: CallIdentity,
-        began: Instant,
+        started_at: Instant,
     ) -> Option<AgedCrash> {
         if self.is_leaving() {
             return None;
@@ -57,13 +58,18 @@
             return None;
         }
         self.mark_down();
-        Some(self.quarantine.record_crash(call, began))
+        Some(self.quarantine.record_crash(call, started_at))
     }
 
-    /// Does the same as `record_crash_if_ended` in the background, for a
-    /// run whose answer had already begun: its caller doesn't wait for the crash.
-    pub(super) fn record_crash_in_background(self: &Rc<Self>, call: CallIdentity, began: Instant) {
+    /// Runs [`Gate::record_crash_if_ended`] in the background, for a run whose answer
+    /// has already begun: the reply to the caller's daemon is sent by then, so the crash
+    /// cannot be part of it.
+    pub(super) fn record_crash_in_background(
+        self: &Rc<Self>,
+        call: CallIdentity,
+        started_at: Instant,
+    ) {
         let gate = Rc::clone(self);
-        tokio::task::spawn_local(async move { gate.record_crash_if_ended(call, began).await });
+        tokio::task::spawn_local(async move { gate.record_crash_if_ended(call, started_at).await });
     }
 }
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -36,7 +36,7 @@
 pub use wait::RunPermit;
 
 /// Fraction of the drain time during which a leaving target still accepts calls.
-/// The rest is for calls that are still on their way through the daemon.
+/// In the rest the accepted calls finish; calls that still wait are declined.
 const DRAIN_ACCEPT_FRACTION: f64 = 0.5;
 
 struct GateState {
@@ -44,6 +44,8 @@
     health: TargetHealth,
     run_times: RunTimeEstimator,
     tracker: InstanceTracker,
+    /// Senders of the gate's decision to each waiting call: `Ok` if the call runs,
+    /// otherwise the time until capacity is expected.
     waiters: HashMap<WaitTicket, oneshot::Sender<Result<(), Duration>>>,
     /// End of the time in which no call is sent to a target that accepted no
     /// connection; a report of the target ends it early.
@@ -129,8 +131,8 @@
         })
     }
 
-    /// Applies reloaded settings: the target's address, the drain time and the
-    /// interval of its reports.
+    /// Applies reloaded settings: the target's address, its drain time and the
+    /// interval of the target's reports.
     pub fn apply_settings(&self, address: SocketAddr, times: &TimeSettings) {
         self.address.set(address);
         self.drain_time.set(times.drain);
@@ -150,7 +152,7 @@
         state.queue.running() + state.queue.waiting()
     }
 
-    /// Returns whether the target announced that it is leaving.
+    /// Returns whether the target is leaving, that is whether it sent a shutdown notice.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.state.borrow().tracker.leaving_since().is_some()
@@ -190,7 +192,7 @@
         change
     }
 
-    /// Handles the announcement of instance `key` that it is leaving.
+    /// Handles the shutdown notice of instance `key`.
     pub fn leave(&self, key: &InstanceKey) -> InstanceChange {
         let now = self.clock.now();
         let change = self.state.borrow_mut().tracker.leave(key, now);
@@ -200,8 +202,8 @@
         change
     }
 
-    /// Marks instance `key` as leaving since before this daemon started, as its
-    /// peers reported.
+    /// Marks instance `key` as leaving since before this daemon started, as the
+    /// daemon's peers reported.
     pub fn mark_left_before_restart(&self, key: &InstanceKey) {
         let now = self.clock.now();
         self.state
@@ -211,8 +213,8 @@
         self.status_changed.notify_waiters();
     }
 
-    /// Returns the target's state with roll-outs taken into account: a target
-    /// whose software version a roll-out gives no calls now is closed.
+    /// Returns the target's state, including the effect of roll-outs: the target is
+    /// closed while a roll-out sends no calls to its software version on this host.
     fn target_state(&self, state: &GateState, now: Instant) -> TargetState {
         let is_admitted = state.tracker.current().is_some_and(|report| {
             self.rollouts
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Returns whether the target is open, leaving roll-outs out of account.
+    /// Returns whether the target would be open if no roll-out closed it.
     #[must_use]
     pub fn is_open_without_rollouts(&self) -> bool {
         self.state_without_rollouts(&self.state.borrow(), self.clock.now()) == TargetState::Open
@@ -238,7 +240,8 @@
         self.status_changed.notify_waiters();
     }
 
-    /// The target's state without regard to roll-outs.
+    /// Returns the target's state apart from roll-outs. A leaving target is closed
+    /// after [`DRAIN_ACCEPT_FRACTION`] of its drain time.
     fn state_without_rollouts(&self, state: &GateState, now: Instant) -> TargetState {
         let is_down = state.down_until.is_some_and(|until| now < until);
         if self.is_stopping.get() || is_down || state.tracker.current().is_none() {
@@ -297,8 +300,11 @@
     /// Estimates the run time of `call` at the local target.
     #[must_use]
     pub fn estimate_run_time(&self, call: &CallHead) -> RunTime {
-        let usual = call.expected_run_time.map(RunTime::from);
-        self.state.borrow().run_times.expect(&call.kind, usual)
+        let expected_run_time = call.expected_run_time.map(RunTime::from);
+        self.state
+            .borrow()
+            .run_times
+            .expect(&call.kind, expected_run_time)
     }
 
     /// Returns the time that the answer to `call` would need on this host's link:
@@ -322,7 +328,7 @@
 /// A run counts with its expected time, and with its age so far once it is
 /// overdue. So a target that has become slow shows it before its slow runs end.
 fn mean_run_time(state: &GateState, now: Instant) -> Duration {
-    /// Multiple of its expected time from which a run is overdue.
+    /// Multiple of a run's expected time from which the run is overdue.
     const OVERDUE_FACTOR: f64 = 2.0;
     if state.active_runs.is_empty() {
         return state.run_times.mean();
--- a/crates/mesh/src/gate/run.rs
+++ b/crates/mesh/src/gate/run.rs
@@ -18,8 +18,8 @@
 use crate::rollouts::counters::{CountedOutcome, RunObservation};
 use crate::target::{ExchangeOutcome, ExchangeParams};
 
-/// Lowest status code that counts as a failure of the target.
-const FIRST_FAILURE_STATUS: u16 = 500;
+/// Lowest status code of an answer that counts as a failure of the target.
+const MIN_SERVER_ERROR_STATUS: u16 = 500;
 
 impl Gate {
     /// Waits for a slot at the target and runs a call there. Returns the reply for
@@ -40,15 +40,15 @@
             run: self.estimate_run_time(call),
             link,
         };
-        let none = AnswerBody::Whole(bytes::Bytes::new());
+        let empty_body = AnswerBody::Whole(bytes::Bytes::new());
         if let Some(reply) = self.refuse_held(call) {
-            return (reply, none);
+            return (reply, empty_body);
         }
-        let permit = match self.admit(call, request).await {
+        let permit = match self.wait_for_slot(call, request).await {
             Ok(permit) => permit,
             Err(declined) => {
                 self.record_decline(call, received, declined);
-                return (self.decline_reply(declined), none);
+                return (self.decline_reply(declined), empty_body);
             }
         };
         // The call may have become held, or a suspect, while it waited.
@@ -56,7 +56,7 @@
             .refuse_held(call)
             .or_else(|| self.decline_second_suspect(call))
         {
-            return (reply, none);
+            return (reply, empty_body);
         }
         let instance = match self.state.borrow().tracker.current() {
             Some(report) => report.key.id.clone(),
@@ -91,26 +91,26 @@
     /// there is no roll-out.
     fn observe_run(&self, call: &CallHead) -> Option<RunObservation> {
         self.rollouts.has_live_rollout(&call.service).then(|| {
-            let usual = call
+            let mean_run_time = call
                 .expected_run_time
-                .map(|usual| RunTime::from(usual).mean);
-            RunObservation::new(&self.rollouts, &self.clock, &call.kind, usual)
+                .map(|expected_run_time| RunTime::from(expected_run_time).mean);
+            RunObservation::new(&self.rollouts, &self.clock, &call.kind, mean_run_time)
         })
     }
 
     /// Records how the run ended. Returns the reply for the caller's daemon, the
-    /// body of the answer, and what the run says of the target's version.
+    /// body of the answer, and the outcome that a roll-out of the service counts.
     async fn evaluate(
         &self,
         run: &CallRun<'_>,
         outcome: ExchangeOutcome,
     ) -> (ReplyHead, AnswerBody, CountedOutcome) {
-        let none = AnswerBody::Whole(bytes::Bytes::new());
+        let empty_body = AnswerBody::Whole(bytes::Bytes::new());
         match outcome {
             ExchangeOutcome::Answer(head, body) => {
                 let time_to_head = self.clock.now().saturating_duration_since(run.started);
                 self.record_answer(run, &head, time_to_head);
-                let counted_outcome = if head.status < FIRST_FAILURE_STATUS {
+                let counted_outcome = if head.status < MIN_SERVER_ERROR_STATUS {
                     CountedOutcome::Success
                 } else {
                     CountedOutcome::Failure
@@ -133,16 +133,16 @@
             }
             ExchangeOutcome::NotConnected(error) => {
                 let reply = self.record_unreachable(run, &error);
-                (reply, none, CountedOutcome::NotCounted)
+                (reply, empty_body, CountedOutcome::NotCounted)
             }
             ExchangeOutcome::Rejected(load) => {
                 self.record_failure(run, "rejected", &format!("stated load {load:?}"));
                 let reply = ReplyHead::Rejected { load: self.load() };
-                (reply, none, CountedOutcome::NotCounted)
+                (reply, empty_body, CountedOutcome::NotCounted)
             }
             ExchangeOutcome::Lost(reason) => {
                 self.record_failure(run, "lost", reason);
-                (self.lost_reply(None), none, CountedOutcome::Failure)
+                (self.lost_reply(None), empty_body, CountedOutcome::Failure)
             }
             ExchangeOutcome::ConnectionLost(reason) => {
                 let crash = self
@@ -154,7 +154,7 @@
                     ("lost", CountedOutcome::Failure)
                 };
                 self.record_failure(run, verdict, reason);
-                (self.lost_reply(crash), none, counted_outcome)
+                (self.lost_reply(crash), empty_body, counted_outcome)
             }
         }
     }
@@ -165,15 +165,17 @@
         self.metrics.run(run.waited(), time_to_head);
         {
             let mut state = self.state.borrow_mut();
-            if head.status < FIRST_FAILURE_STATUS {
-                let usual = run.call.expected_run_time.map(RunTime::from);
-                state.run_times.record(&run.call.kind, usual, time_to_head);
+            if head.status < MIN_SERVER_ERROR_STATUS {
+                let expected_run_time = run.call.expected_run_time.map(RunTime::from);
+                state
+                    .run_times
+                    .record(&run.call.kind, expected_run_time, time_to_head);
                 state.health.record(RunOutcome::Success);
             } else {
                 state.health.record(RunOutcome::Failure);
             }
         }
-        if head.status >= FIRST_FAILURE_STATUS {
+        if head.status >= MIN_SERVER_ERROR_STATUS {
             self.log_run(run, "answered_failure", &format!("status {}", head.status));
         }
     }
@@ -184,8 +186,8 @@
         self.log_run(run, verdict, reason);
     }
 
-    /// Records that the target accepted no connection. Returns the reply that
-    /// declines the call, as the target did not see it.
+    /// Records that the target accepted no connection, and marks the target as down.
+    /// Returns a reply that declines the call, as the call did not reach the target.
     fn record_unreachable(&self, run: &CallRun<'_>, error: &std::io::Error) -> ReplyHead {
         self.metrics.gate("unreachable");
         self.log_run(run, "unreachable", &error.to_string());
--- a/crates/mesh/src/gate/wait.rs
+++ b/crates/mesh/src/gate/wait.rs
@@ -30,9 +30,9 @@
 }
 
 impl RunPermit {
-    /// Ends the run as failed, as the target broke off its answer. Records a crash
-    /// in the background if the target has ended.
-    pub fn end_broken_off(self) {
+    /// Ends a run whose answer was truncated, as failed. If the target has ended,
+    /// records its crash in the background.
+    pub fn end_truncated(self) {
         self.gate.record_outcome(RunOutcome::Failure);
         if let Some(run) = self.active_run() {
             self.gate
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Ends the run as successful, as the target gave a complete answer that is
-    /// no failure: clears the call in the quarantine.
+    /// Ends a run whose answer was complete and no failure. Clears the call in the
+    /// quarantine.
     pub fn end_successful(self) {
         if let Some(run) = self.active_run() {
             self.gate.quarantine.record_success(run.call);
@@ -64,20 +64,22 @@
     }
 }
 
-/// Removes a waiting call from the queue if its future is dropped, as when the
-/// caller leaves.
+/// Removes a waiting call from the queue when the call's future is dropped, for
+/// example because the client has disconnected.
 ///
-/// The queue may have given the call a slot just before. The guard frees that
-/// slot, which would stay taken for good as nobody runs the call.
+/// If the queue has just given the call a slot, the guard frees that slot.
+/// Otherwise the slot would stay taken for good, as the call is never run.
 struct WaitGuard<'a> {
     gate: &'a Gate,
     ticket: WaitTicket,
+    /// Receives the gate's decision, as described at [`GateState::waiters`].
     decision: oneshot::Receiver<Result<(), Duration>>,
     is_received: bool,
 }
 
 impl WaitGuard<'_> {
-    async fn outcome(mut self) -> Result<(), Duration> {
+    /// Waits for the gate's decision.
+    async fn decision(mut self) -> Result<(), Duration> {
         let decision = (&mut self.decision).await;
         self.is_received = true;
         // The gate keeps the sender in `waiters` until it sends a decision. If the
@@ -106,12 +108,12 @@
     }
 }
 
-/// Why a call was declined, and when to retry.
+/// A decline of a call: its reason, and when the gate expects capacity.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Declined {
     /// Why the gate declined the call.
     pub(super) reason: DeclineReason,
-    /// Time until a slot is expected to be free for the call.
+    /// Time until capacity for the call is expected.
     pub(super) room_in: Duration,
 }
 
@@ -119,9 +121,9 @@
     /// Waits for a slot at the target.
     ///
     /// # Errors
-    /// [`Declined`] if the target is closed or of another service, or if the call
-    /// would start too late.
-    pub(super) async fn admit(
+    /// [`Declined`] if the target is closed or belongs to another service, if the
+    /// call would start too late, or if the queue is full.
+    pub(super) async fn wait_for_slot(
         self: &Rc<Self>,
         call: &CallHead,
         request: AdmissionRequest,
@@ -157,7 +159,7 @@
                 decision,
                 is_received: false,
             };
-            guard.outcome().await.map_err(|room_in| Declined {
+            guard.decision().await.map_err(|room_in| Declined {
                 reason: DeclineReason::Crowded,
                 room_in,
             })?;
@@ -211,6 +213,7 @@
                     .waiters
                     .remove(&ticket)
                     .is_some_and(|waiter| waiter.send(decision).is_ok());
+                // The call's future was dropped, so its slot is free for another call.
                 if may_run && !was_received {
                     state.queue.finish_run();
                     freed_slots += 1;
--- a/crates/mesh/src/target.rs
+++ b/crates/mesh/src/target.rs
@@ -21,21 +21,22 @@
 use crate::sockets;
 
 /// Timeout for connecting to the target. A live target, which is on this host,
-/// accepts a connection within a few milliseconds.
+/// accepts a connection within a few milliseconds. Also the maximum time for reading
+/// the rest of a rejection's body.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Maximum length in bytes of the head of a response.
 const MAX_RESPONSE_HEAD_BYTES: usize = 64 * 1024;
 /// Idle timeout of a connection if the target states none in `Keep-Alive`.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long before the idle timeout that the target states a connection is closed.
-/// A call sent just as the target closes the connection would be lost, without the
+/// Margin by which a connection is closed before the idle timeout that the target
+/// states. A call sent just as the target closes the connection would be lost, without the
 /// daemon knowing whether it ran.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(1200);
-/// Most idle connections that are kept in the pool, beside those in use. Reuse
-/// saves the handshake of a new connection.
+/// Maximum number of idle connections in the pool, besides those in use. Reuse saves
+/// the handshake of a new connection.
 const MAX_IDLE_CONNECTIONS: usize = 32;
-/// Lowest status code that counts as a failure of the target.
-const FIRST_FAILURE_STATUS: u16 = 500;
+/// Lowest status code of an answer that counts as a failure of the target.
+const MIN_SERVER_ERROR_STATUS: u16 = 500;
 
 #[derive(Debug)]
 struct TargetConnection {
@@ -82,11 +83,11 @@
     /// The connection was lost after it was opened and before an answer to the call
     /// came; with the reason.
     ConnectionLost(&'static str),
-    /// The target answered, also if with a failure.
+    /// The target answered, with success or with failure.
     Answer(ResponseHead, Box<RunBody>),
 }
 
-/// Parameters of an exchange, beside the call.
+/// Parameters of an exchange, besides the call.
 pub struct ExchangeParams<'a> {
     /// Address at which the target listens.
     pub address: SocketAddr,
@@ -99,13 +100,14 @@
 }
 
 impl TargetConnectionPool {
-    /// Closes all idle connections, as after the target was replaced or went down.
+    /// Closes all idle connections, for example after the target was replaced or
+    /// went down.
     pub fn clear(&self) {
         self.idle.borrow_mut().clear();
     }
 
-    /// Takes the most recently used idle connection that is still usable. The
-    /// target, or a device on the way, is the least likely to have dropped it.
+    /// Takes the most recently used idle connection that is still usable. It is the
+    /// one least likely to have been dropped by the target or a device in between.
     fn take_idle(&self, now: Instant) -> Option<TargetConnection> {
         let mut idle = self.idle.borrow_mut();
         idle.retain(|connection| now < connection.idle_since + connection.idle_timeout);
@@ -127,7 +129,11 @@
         }
     }
 
-    async fn connection(
+    /// Takes an idle connection, or opens one if there is none.
+    ///
+    /// # Errors
+    /// The error of the connect.
+    async fn acquire(
         &self,
         address: SocketAddr,
         clock: &dyn Clock,
@@ -174,7 +180,7 @@
         params: ExchangeParams<'_>,
         clock: &Rc<dyn Clock>,
     ) -> ExchangeOutcome {
-        let mut connection = match self.connection(params.address, clock.as_ref()).await {
+        let mut connection = match self.acquire(params.address, clock.as_ref()).await {
             Ok(connection) => connection,
             Err(error) => return ExchangeOutcome::NotConnected(error),
         };
@@ -214,7 +220,7 @@
             pool: Rc::clone(self),
             clock: Rc::clone(clock),
             permit: Some(params.permit),
-            is_failure: head.status >= FIRST_FAILURE_STATUS,
+            is_failure: head.status >= MIN_SERVER_ERROR_STATUS,
         });
         match headers::classify_response(&head, &call.id) {
             ResponseKind::Valid => ExchangeOutcome::Answer(head, run),
@@ -258,7 +264,7 @@
     bytes
 }
 
-/// Sends the output of [`encode_request`], then the body as it is received.
+/// Sends the output of [`encode_request`], then a streamed body as it is received.
 async fn send_request(
     writer: &mut OwnedWriteHalf,
     first_bytes: Vec<u8>,
@@ -269,18 +275,18 @@
         .any(|window| window == b"Transfer-Encoding: chunked");
     let failed = |_| ExchangeOutcome::ConnectionLost("write failed");
     writer.write_all(&first_bytes).await.map_err(failed)?;
-    let CallBody::Streamed(mut pieces) = body else {
+    let CallBody::Streamed(mut source) = body else {
         return Ok(());
     };
-    while let Some(piece) = pieces
+    while let Some(data) = source
         .next()
         .await
         .map_err(|_| ExchangeOutcome::Lost("call body broken off"))?
     {
         let framed = if is_chunked {
-            encode_chunk(&piece)
+            encode_chunk(&data)
         } else {
-            piece
+            data
         };
         writer.write_all(&framed).await.map_err(failed)?;
     }
@@ -290,11 +296,11 @@
     Ok(())
 }
 
-/// Encodes a piece of a body as one chunk of the chunked transfer encoding.
+/// Encodes data of a body as one chunk of the chunked transfer encoding.
 #[must_use]
-pub fn encode_chunk(piece: &[u8]) -> Bytes {
-    let mut framed = format!("{:x}\r\n", piece.len()).into_bytes();
-    framed.extend_from_slice(piece);
+pub fn encode_chunk(data: &[u8]) -> Bytes {
+    let mut framed = format!("{:x}\r\n", data.len()).into_bytes();
+    framed.extend_from_slice(data);
     framed.extend_from_slice(b"\r\n");
     Bytes::from(framed)
 }
@@ -340,8 +346,9 @@
     }
 }
 
-/// The body of an answer, read from the target as it comes. Dropping it before its
-/// end closes the connection, which makes the target abandon the run.
+/// The body of an answer, read from the target as it arrives. Dropping a `RunBody`
+/// before the end of the body closes the connection, which makes the target abandon
+/// the run.
 pub struct RunBody {
     connection: Option<TargetConnection>,
     decoder: BodyDecoder,
@@ -350,7 +357,7 @@
     pool: Rc<TargetConnectionPool>,
     clock: Rc<dyn Clock>,
     permit: Option<RunPermit>,
-    /// Whether the answer is the target's failure.
+    /// Whether the answer has a failure status.
     is_failure: bool,
 }
 
@@ -364,8 +371,8 @@
 }
 
 impl RunBody {
-    /// Reads the next piece of the body; `None` at its end. The run ends with the
-    /// body, as successful unless the answer is a failure.
+    /// Reads the next data; `None` at the end of the body. The run ends with the body,
+    /// as successful unless the answer has a failure status.
     ///
     /// # Errors
     /// [`BodyTruncated`] if the connection was lost before the end of the body.
@@ -374,7 +381,7 @@
             return Ok(None);
         };
         match connection.reader.read_body_data(&mut self.decoder).await {
-            Ok(Some(piece)) => Ok(Some(piece)),
+            Ok(Some(data)) => Ok(Some(data)),
             Ok(None) => {
                 self.finish();
                 Ok(None)
@@ -382,7 +389,7 @@
             Err(_) => {
                 self.connection = None;
                 if let Some(permit) = self.permit.take() {
-                    permit.end_broken_off();
+                    permit.end_truncated();
                 }
                 Err(BodyTruncated)
             }
