--- a/crates/policy/src/admission/mod.rs
+++ b/crates/policy/src/admission/mod.rs
@@ -35,7 +35,8 @@
 /// Time that an answer needs on the host's network link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkTime {
-    /// Time spent behind other answers, less the expected run time of the call.
+    /// Time that the answer waits behind other answers after the run. The link sends
+    /// the other answers during the run too, so the expected run time is deducted.
     pub wait: Duration,
     /// Time to transmit the answer.
     pub send: Duration,
@@ -54,10 +55,10 @@
 /// Why a call was declined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeclineReason {
-    /// The calls or answers ahead of it leave no time for its answer, or the
-    /// queue is full.
+    /// The calls or answers ahead of the call leave no time for its answer, or
+    /// the queue is full.
     Crowded,
-    /// The target takes no calls: it is shutting down or absent.
+    /// The target takes no calls, for example because it is shutting down.
     Closed,
 }
 
@@ -245,12 +246,12 @@
             self.running += 1;
             return AdmissionDecision::Run;
         }
-        let on_time_wait = self.expected_wait_of(&request, false, mean_run, now);
+        let on_time_wait = self.expected_wait_of_new(&request, false, mean_run, now);
         let is_likely_late = !on_time_wait.meets_soft_deadline(&request, now);
         let max_waiting = (self.limits.max_waiting_per_slot * self.slots) as usize;
         let is_futile = is_likely_late
             && !self
-                .expected_wait_of(&request, true, mean_run, now)
+                .expected_wait_of_new(&request, true, mean_run, now)
                 .is_worth_queueing(&request, now);
         if is_futile || self.waiting.len() >= max_waiting {
             return AdmissionDecision::Decline {
@@ -269,8 +270,8 @@
         AdmissionDecision::Wait(ticket)
     }
 
-    /// Expected wait of a new call, ordered as likely late or not.
-    fn expected_wait_of(
+    /// Expected wait of a new call if the queue orders the call by `is_likely_late`.
+    fn expected_wait_of_new(
         &self,
         request: &AdmissionRequest,
         is_likely_late: bool,
@@ -287,7 +288,8 @@
         self.expected_wait(ahead, order, mean_run, now)
     }
 
-    /// Expected wait behind waiting calls whose run times add up to `ahead`.
+    /// Expected wait of a call with sort key `order` behind waiting calls whose run
+    /// times add up to `ahead`.
     fn expected_wait(
         &self,
         ahead: Duration,
@@ -319,23 +321,23 @@
     /// worth keeping, where `mean_run` is the mean run time of the calls at the
     /// target. Must be called after each change and periodically.
     pub fn dispatch(&mut self, mean_run: Duration, now: Instant) -> Vec<WaitOutcome> {
-        let mut ends = Vec::new();
-        self.decline_late(mean_run, now, &mut ends);
+        let mut outcomes = Vec::new();
+        self.decline_late(mean_run, now, &mut outcomes);
         // `decline_late` left the waiting calls in the order in which they start.
         let free_slots = self.slots.saturating_sub(self.running) as usize;
         let starting = free_slots.min(self.waiting.len());
         for call in self.waiting.drain(..starting) {
             self.running += 1;
-            ends.push(WaitOutcome::Run(call.ticket));
+            outcomes.push(WaitOutcome::Run(call.ticket));
         }
-        ends
+        outcomes
     }
 
     /// Sorts the waiting calls and declines each call as soon as the calls ahead
     /// of it leave it no time. Otherwise a call that more urgent calls have
-    /// overtaken would be held until its soft deadline and then be declined
+    /// overtaken would wait until its soft deadline and then be declined
     /// anyway.
-    fn decline_late(&mut self, mean_run: Duration, now: Instant, ends: &mut Vec<WaitOutcome>) {
+    fn decline_late(&mut self, mean_run: Duration, now: Instant, outcomes: &mut Vec<WaitOutcome>) {
         let room_in = self.room_in(mean_run);
         self.waiting
             .sort_by_key(|call| (call.order(now), call.ticket));
@@ -347,7 +349,7 @@
                 ahead += call.request.run.mean;
                 kept.push(call);
             } else {
-                ends.push(WaitOutcome::Decline {
+                outcomes.push(WaitOutcome::Decline {
                     ticket: call.ticket,
                     room_in,
                 });
--- a/crates/policy/src/admission/order.rs
+++ b/crates/policy/src/admission/order.rs
@@ -12,7 +12,8 @@
     /// Logarithm of the run time weighted by priority, in steps of
     /// [`COST_STEPS_PER_DOUBLING`].
     cost: u64,
-    /// Whether the call is expected to miss its soft deadline.
+    /// Whether the call was likely late on arrival, or has less than half of its mean
+    /// run time left until its soft deadline.
     is_late: bool,
     /// The soft deadline, or the deadline if the call is late.
     due: Instant,
@@ -57,21 +58,23 @@
     }
 }
 
-/// Number of buckets in [`OfferedLoad`]. Each bucket covers one doubling of the
-/// cost, and the last one also counts all higher costs, such as runs of 16 s at
-/// the first priority or of 1 s at the fifth.
+/// Number of buckets in [`OfferedLoad`]. Each bucket covers one doubling of the run
+/// time weighted by priority. The last one also counts all higher values, such as
+/// runs of 16 s at the first priority or of 1 s at the fifth.
 const BUCKETS: usize = 15;
 /// Time constant of the decay of [`OfferedLoad`]. It spans a few waits, so that
 /// the load distinguishes a lasting overload from a short burst.
 const LOAD_TIME_CONSTANT: Duration = Duration::from_secs(1);
-/// Recent load offered to the target, as a share of its slots, by the cost of
-/// the calls.
+
+/// Recent load offered to the target, as a share of its slots, by
+/// [`CallOrder::cost`].
 ///
 /// Load pattern: for seconds, more calls arrive than there are slots. A late
-/// call behind calls that can still meet their soft deadlines is overtaken by
-/// each new one of them, and would be declined in the end with no time left.
-/// The offered load shows this when the call arrives, so that it is declined at
-/// once; in a short burst it waits and is answered.
+/// call starts after the calls that can still meet their soft deadlines, so each
+/// new call of that sort overtakes it. Without a measure of the offered load, the
+/// late call would wait and be declined in the end with no time left.
+/// With it, the late call is declined on arrival in a lasting overload, and waits
+/// and is answered in a short burst.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct OfferedLoad {
     buckets: [f64; BUCKETS],
@@ -87,7 +90,7 @@
         (-elapsed.as_secs_f64() / LOAD_TIME_CONSTANT.as_secs_f64()).exp()
     }
 
-    /// Counts a new call for a target with `slots` slots.
+    /// Adds the load of a new call for a target with `slots` slots.
     pub(super) fn record(&mut self, request: &AdmissionRequest, slots: u32, now: Instant) {
         let decay = self.decay(now);
         for share in &mut self.buckets {
--- a/crates/policy/src/admission/wait.rs
+++ b/crates/policy/src/admission/wait.rs
@@ -1,22 +1,23 @@
 //! The expected wait of a call in the admission queue, and whether the call is
-//! worth queueing or keeping.
+//! worth queueing or keeping. A call is likely late if it was expected on arrival to
+//! miss its soft deadline.
 
 use std::time::{Duration, Instant};
 
 use super::AdmissionRequest;
 
-/// Part of the mean deviation of the run time that must fit, besides the mean run
-/// time, between the start of a waiting call and its soft deadline.
+/// Time that must be left between the start of a waiting call and its soft deadline,
+/// besides the mean run time, as a ratio of the run time's mean deviation.
 const KEPT_CALL_DEVIATIONS: f64 = 0.5;
-/// Mean run times that must fit between the start of a new call that is likely to
-/// miss its soft deadline and its deadline.
+/// Time that must be left between the start of a new, likely late call and its
+/// deadline, in mean run times of the call.
 const LATE_CALL_RUNS: f64 = 1.5;
-/// Maximum wait for the host's link, in mean run times of the call, for the answer
-/// to a call that is likely late. Beyond it, late answers would delay answers
+/// Maximum time that the answer to a likely late call waits for the host's link, in
+/// mean run times of the call. With longer waits, late answers would delay answers
 /// that are still in time.
 const MAX_LATE_LINK_WAIT_RUNS: f64 = 0.6;
-/// Wait that a short, likely late call is allowed whatever load arrives, in mean
-/// run times of the calls at the target. A few slots become free in that time.
+/// Wait up to which a short, likely late call is queued even beyond the limits below,
+/// in mean run times of the calls at the target. A few slots become free in that time.
 const SHORT_CALL_WAIT_RUNS: f64 = 0.6;
 /// Maximum run time of a short call, as a ratio of the mean run time of the calls at
 /// the target.
@@ -37,7 +38,7 @@
 pub(super) struct ExpectedWait {
     /// Wait if no further calls arrive.
     without_arrivals: Duration,
-    /// Wait including calls that are expected to arrive and start ahead of it.
+    /// Wait if further calls arrive at the present rate; some start ahead of the call.
     with_arrivals: Duration,
     /// Mean run time of the calls at the target.
     mean_run: Duration,
@@ -53,9 +54,9 @@
         }
     }
 
-    /// The wait where calls that arrive later and start first take `load_ahead` of
-    /// the slots. As in a priority queue, the wait without arrivals is divided by
-    /// the share of the slots that they leave.
+    /// The wait of a call that is overtaken by later arrivals, which take the share
+    /// `load_ahead` of the slots. As in a priority queue, the wait without arrivals
+    /// is divided by the share that is left for the other calls.
     pub(super) fn under_load(
         without_arrivals: Duration,
         load_ahead: f64,
@@ -103,9 +104,9 @@
     }
 
     /// Returns whether a call that has waited since `enqueued_at` is worth keeping
-    /// in the queue. The condition is weaker than for a new call, so that an
-    /// accepted call is not declined as soon as one run takes slightly longer
-    /// than expected.
+    /// in the queue. The conditions are weaker than for a new call, and a short call
+    /// may wait twice as long, so that an accepted call is not declined as soon as
+    /// one run takes slightly longer than expected.
     pub(super) fn is_worth_keeping(
         &self,
         request: &AdmissionRequest,
--- a/crates/policy/src/membership.rs
+++ b/crates/policy/src/membership.rs
@@ -1,6 +1,7 @@
-//! Plans which hosts a daemon links to, and elects the daemons that read the
-//! store: the sources, which query it for the whole fleet, and the readers,
-//! which relay its contents to the daemons of their availability zone.
+//! Plans which hosts a daemon links to, and elects the daemons that distribute
+//! the contents of the store: the sources query the store for the whole fleet,
+//! and the readers of each availability zone relay what the sources send to the
+//! daemons of the zone.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,8 +32,8 @@
     /// The daemon responds, or has not been contacted yet.
     #[default]
     Reachable,
-    /// The link is up, but the daemon does not respond at present. The link to
-    /// its target is kept; the daemon does not count as a working upstream.
+    /// The link is up, but the daemon does not respond at present. The link is
+    /// kept and counts as live; the daemon does not count as a working upstream.
     Unresponsive,
     /// Recent attempts to link to the daemon have failed.
     Unreachable,
@@ -50,12 +51,13 @@
     /// Targets in other zones take the overflow, or all calls when the own zone
     /// has no target.
     pub per_service: usize,
-    /// Readers in each zone. With two of them, a change still arrives without
+    /// Wanted number of working readers in each zone, that is of reachable ones that
+    /// have not lost the store. With two of them, a change still arrives without
     /// delay when one dies.
     pub readers: usize,
-    /// Sources in the fleet. Two are needed because a stalled daemon is detected
-    /// only after more than a second, which is too late for a version that has
-    /// to be in force within two seconds.
+    /// Wanted number of working sources in the fleet. Two are needed because a
+    /// stalled daemon is detected only after more than a second, which is too late
+    /// for a version that has to be in force within two seconds.
     pub sources: usize,
     /// Maximum number of reachable sources, including those that have lost the
     /// store and those that replace them. With six, a store that rejects a third
@@ -188,8 +190,8 @@
     services
 }
 
-/// Adds hosts to `links` in rank order until `max_live` of them are live.
-/// Returns the number of live hosts added.
+/// Adds hosts to `links` in rank order until `max_live` of them are live, that is
+/// not [`Reachability::Unreachable`]. Returns the number of live hosts added.
 fn link_live_hosts(
     ranked: &[(bool, u64, &HostView<'_>)],
     max_live: usize,
@@ -261,15 +263,15 @@
     max_reachable: usize,
 ) -> BTreeSet<String> {
     let mut selected = BTreeSet::new();
-    let mut live = 0;
+    let mut working = 0;
     let mut reachable = 0;
     for host in ranked {
-        if live == wanted || reachable == max_reachable || (live > 0 && !host.is_registered) {
+        if working == wanted || reachable == max_reachable || (working > 0 && !host.is_registered) {
             break;
         }
         selected.insert(host.id.to_owned());
         let is_reachable = host.reachability == Reachability::Reachable;
-        live += usize::from(is_reachable && !host.lost_store);
+        working += usize::from(is_reachable && !host.lost_store);
         reachable += usize::from(is_reachable);
     }
     selected
