--- a/crates/mesh/src/calls/attempt.rs
+++ b/crates/mesh/src/calls/attempt.rs
@@ -128,8 +128,8 @@
         ReplyHead::HeldBack { remaining_us, .. } => AttemptOutcome::HeldBack {
             remaining_hold: Duration::from_micros(remaining_us),
         },
-        ReplyHead::Lost { ended, .. } => {
-            if let Some(crash) = ended {
+        ReplyHead::Lost { crash, .. } => {
+            if let Some(crash) = crash {
                 shared.quarantine.merge_crash(head.identity, crash);
             }
             AttemptOutcome::Lost
@@ -149,7 +149,7 @@
     }
 }
 
-fn crossing_cause(reply: &ReplyHead) -> CrossingCause {
+fn cross_zone_cause(reply: &ReplyHead) -> CrossingCause {
     match reply {
         ReplyHead::Answer { .. } => CrossingCause::Answer,
         ReplyHead::Declined { .. }
@@ -204,7 +204,7 @@
                     };
                     let bytes =
                         buffered_before - buffer.len() + usize::try_from(body_length).unwrap_or(0);
-                    shared.count_crossing(peer, crossing_cause(&reply), bytes);
+                    shared.count_crossing(peer, cross_zone_cause(&reply), bytes);
                     return Ok(Some((reply, LinkBody::new(incoming, buffer))));
                 }
                 Ok(None) => {}
--- a/crates/mesh/src/gate/run.rs
+++ b/crates/mesh/src/gate/run.rs
@@ -245,9 +245,9 @@
         );
     }
 
-    fn lost_reply(&self, ended: Option<AgedCrash>) -> ReplyHead {
+    fn lost_reply(&self, crash: Option<AgedCrash>) -> ReplyHead {
         let load = self.load();
-        ReplyHead::Lost { ended, load }
+        ReplyHead::Lost { crash, load }
     }
 
     /// Refuses a call that the quarantine holds back; `None` if the call may run.
--- a/crates/mesh/src/ingress/mod.rs
+++ b/crates/mesh/src/ingress/mod.rs
@@ -54,7 +54,7 @@
     id: String,
     is_http11: bool,
     closes_connection: bool,
-    _mark: CallMark,
+    _active_call_guard: CallMark,
 }
 
 impl Drop for PendingAnswer {
@@ -161,7 +161,7 @@
         id,
         is_http11,
         closes_connection,
-        _mark: CallMark::new(shared),
+        _active_call_guard: CallMark::new(shared),
     });
     state.call_added.notify_one();
 }
@@ -204,7 +204,7 @@
     if length.is_some_and(|length| length > limits.body_bytes) {
         return Err(ReadEnd::CloseAfterAnswers(Some(CONTENT_TOO_LARGE)));
     }
-    let call_headers = headers::read_call(&head);
+    let call_headers = headers::read_call_headers(&head);
     let keep_alive = head.keep_alive;
     let is_http11 = head.is_http11;
     let framing = head.framing;
--- a/crates/mesh/src/messages/calls.rs
+++ b/crates/mesh/src/messages/calls.rs
@@ -99,7 +99,7 @@
     /// The call was sent to the target, but no valid answer came back.
     Lost {
         /// Crash of the target, if the target ended while it ran the call.
-        ended: Option<AgedCrash>,
+        crash: Option<AgedCrash>,
         /// Load of the target.
         load: TargetLoad,
     },
