--- a/crates/mesh/src/body.rs
+++ b/crates/mesh/src/body.rs
@@ -192,7 +192,7 @@
 type BufferedData = (Bytes, OwnedSemaphorePermit);
 
 /// An answer's body that is read from the target as fast as the target sends it,
-/// however slowly the body is forwarded to the caller.
+/// however slowly the body is forwarded to the client.
 ///
 /// This frees the target's slot as soon as the target has finished. Without it,
 /// answers that waited for a slow link held their slots: with nine slots and
@@ -246,7 +246,7 @@
 
 impl Drop for BufferedBody {
     /// Closes the connection to the target, so that the target stops a run whose
-    /// caller has disconnected.
+    /// client has disconnected.
     fn drop(&mut self) {
         self.reader.abort();
     }
--- a/crates/mesh/src/calls/mod.rs
+++ b/crates/mesh/src/calls/mod.rs
@@ -1,5 +1,5 @@
-//! The caller's side: routes a client's call, dispatches it to a target, retries
-//! it where that is allowed, and answers the client.
+//! The client's side of the mesh: routes a client's call, dispatches it to a target,
+//! retries it where that is allowed, and answers the client.
 
 mod access_log;
 mod admit;
--- a/crates/mesh/src/egress.rs
+++ b/crates/mesh/src/egress.rs
@@ -111,7 +111,7 @@
 }
 
 /// A chunk's place in the queue. Dropping the `QueuedChunk` removes the chunk, so
-/// that an answer whose caller has disconnected does not block the queue.
+/// that an answer whose client has disconnected does not block the queue.
 struct QueuedChunk<'a> {
     pacer: &'a EgressPacer,
     ticket: EgressTicket,
--- a/crates/mesh/src/gate/crash.rs
+++ b/crates/mesh/src/gate/crash.rs
@@ -62,7 +62,7 @@
     }
 
     /// Runs [`Gate::record_crash_if_ended`] in the background, for a run whose answer
-    /// has already begun: the reply to the caller's daemon is sent by then, so the crash
+    /// has already begun: the reply to the client's daemon is sent by then, so the crash
     /// cannot be part of it.
     pub(super) fn record_crash_in_background(
         self: &Rc<Self>,
--- a/crates/mesh/src/gate/mod.rs
+++ b/crates/mesh/src/gate/mod.rs
@@ -75,7 +75,7 @@
     metrics: Rc<MeshMetrics>,
     egress: Rc<EgressPacer>,
     /// Memory for answers that are read from the target faster than their
-    /// callers read them; one semaphore permit for each KiB.
+    /// clients read them; one semaphore permit for each KiB.
     answer_buffer_kib: Arc<Semaphore>,
     lines: LineBudget,
     clock: Rc<dyn Clock>,
--- a/crates/mesh/src/gate/run.rs
+++ b/crates/mesh/src/gate/run.rs
@@ -23,7 +23,7 @@
 
 impl Gate {
     /// Waits for a slot at the target and runs a call there. Returns the reply for
-    /// the caller's daemon, and the body of the answer if the target gave one.
+    /// the client's daemon, and the body of the answer if the target gave one.
     ///
     /// `link` is the time that the answer needs on this host's link.
     pub async fn run(
@@ -58,16 +58,16 @@
         {
             return (reply, empty_body);
         }
-        let instance = match self.state.borrow().tracker.current() {
+        let instance_id = match self.state.borrow().tracker.current() {
             Some(report) => report.key.id.clone(),
             None => String::new(),
         };
-        let started = self.clock.now();
+        let started_at = self.clock.now();
         let observation = self.observe_run(call);
         let params = ExchangeParams {
             address: self.address.get(),
-            instance: &instance,
-            remaining: request.deadline.saturating_duration_since(started),
+            instance_id: &instance_id,
+            time_to_deadline: request.deadline.saturating_duration_since(started_at),
             permit,
         };
         let outcome = self
@@ -76,9 +76,9 @@
             .await;
         let run = CallRun {
             call,
-            instance: &instance,
+            instance_id: &instance_id,
             received,
-            started,
+            started_at,
         };
         let (reply, body, counted_outcome) = self.evaluate(&run, outcome).await;
         if let Some(observation) = observation {
@@ -98,7 +98,7 @@
         })
     }
 
-    /// Records how the run ended. Returns the reply for the caller's daemon, the
+    /// Records how the run ended. Returns the reply for the client's daemon, the
     /// body of the answer, and the outcome that a roll-out of the service counts.
     async fn evaluate(
         &self,
@@ -108,7 +108,7 @@
         let empty_body = AnswerBody::Whole(bytes::Bytes::new());
         match outcome {
             ExchangeOutcome::Answer(head, body) => {
-                let time_to_head = self.clock.now().saturating_duration_since(run.started);
+                let time_to_head = self.clock.now().saturating_duration_since(run.started_at);
                 self.record_answer(run, &head, time_to_head);
                 let counted_outcome = if head.status < MIN_SERVER_ERROR_STATUS {
                     CountedOutcome::Success
@@ -146,7 +146,7 @@
             }
             ExchangeOutcome::ConnectionLost(reason) => {
                 let crash = self
-                    .record_crash_if_ended(run.call.identity, run.started)
+                    .record_crash_if_ended(run.call.identity, run.started_at)
                     .await;
                 let (verdict, counted_outcome) = if crash.is_some() {
                     ("target_ended", CountedOutcome::NotCounted)
@@ -205,15 +205,15 @@
                 "event=gate_ran request={} call={} instance={} verdict={verdict} reason=\"{reason}\" waited_ms={} ran_ms={}",
                 run.call.id,
                 run.call.identity,
-                run.instance,
+                run.instance_id,
                 run.waited().as_millis(),
-                now.saturating_duration_since(run.started).as_millis()
+                now.saturating_duration_since(run.started_at).as_millis()
             );
         }
     }
 
     /// Counts and logs a declined call. The number of log lines is limited, as an
-    /// overloaded target declines hundreds of calls per second; the caller's daemon
+    /// overloaded target declines hundreds of calls per second; the client's daemon
     /// logs each attempt too.
     fn record_decline(&self, call: &CallHead, received: Instant, declined: Declined) {
         let now = self.clock.now();
@@ -251,10 +251,10 @@
     }
 
     /// Refuses a call that the quarantine holds back; `None` if the call may run.
-    /// The caller's daemon may not know of the hold yet.
+    /// The client's daemon may not know of the hold yet.
     fn refuse_held(&self, call: &CallHead) -> Option<ReplyHead> {
-        let remaining = self.quarantine.remaining_hold(call.identity);
-        if remaining.is_zero() {
+        let remaining_hold = self.quarantine.remaining_hold(call.identity);
+        if remaining_hold.is_zero() {
             return None;
         }
         self.metrics.gate("held_back");
@@ -263,11 +263,11 @@
                 "event=gate_held_back request={} call={} left_ms={}",
                 call.id,
                 call.identity,
-                remaining.as_millis()
+                remaining_hold.as_millis()
             );
         }
         Some(ReplyHead::HeldBack {
-            remaining_us: to_micros(remaining),
+            remaining_us: to_micros(remaining_hold),
             load: self.load(),
         })
     }
@@ -302,19 +302,19 @@
 /// A call that was admitted and sent to the target.
 struct CallRun<'a> {
     call: &'a CallHead,
-    instance: &'a str,
+    instance_id: &'a str,
     received: Instant,
-    started: Instant,
+    started_at: Instant,
 }
 
 impl CallRun<'_> {
     /// Time that the call waited for a slot.
     fn waited(&self) -> Duration {
-        self.started.saturating_duration_since(self.received)
+        self.started_at.saturating_duration_since(self.received)
     }
 }
 
-/// The head of the target's answer for the caller's daemon, without the headers
+/// The head of the target's answer for the client's daemon, without the headers
 /// that apply to one connection only.
 fn answer_head(head: &ResponseHead) -> AnswerHead {
     let mut lines = Vec::with_capacity(256);
--- a/crates/mesh/src/target.rs
+++ b/crates/mesh/src/target.rs
@@ -92,9 +92,9 @@
     /// Address at which the target listens.
     pub address: SocketAddr,
     /// Id of the instance that may run the call.
-    pub instance: &'a str,
+    pub instance_id: &'a str,
     /// Time until the call's deadline.
-    pub remaining: Duration,
+    pub time_to_deadline: Duration,
     /// The call's slot, which is freed when the run has ended.
     pub permit: RunPermit,
 }
@@ -243,7 +243,7 @@
     bytes.extend_from_slice(b" HTTP/1.1\r\n");
     bytes.extend_from_slice(&call.lines);
     bytes.extend_from_slice(
-        headers::attempt_header_lines(params.remaining, params.instance).as_bytes(),
+        headers::attempt_header_lines(params.time_to_deadline, params.instance_id).as_bytes(),
     );
     match (call.has_body, call.body_length, body) {
         (false, _, _) => {}
--- a/crates/policy/src/admission/wait.rs
+++ b/crates/policy/src/admission/wait.rs
@@ -23,7 +23,7 @@
 /// the target.
 pub const SHORT_RUN_RATIO: f64 = 0.5;
 /// Maximum wait of a likely late call, as a ratio of the time from its arrival to
-/// its deadline. A caller that is refused later has little time left to retry.
+/// its deadline. A client that is refused later has little time left to retry.
 const MAX_LATE_WAIT_RATIO: f64 = 0.5;
 /// Maximum wait of a likely late call, as a ratio of the time from its arrival to
 /// its soft deadline. It applies if the call arrived before its soft deadline.
