--- a/crates/mesh/src/calls/dispatch.rs
+++ b/crates/mesh/src/calls/dispatch.rs
@@ -14,7 +14,7 @@
 
 use super::access_log::AccessLogEntry;
 use super::attempt::{first_outcome, start_attempt, AttemptOutcome, RunningAttempt};
-use super::message::{estimate_soft_deadline, into_call_parts, ReplayBody};
+use super::outgoing::{estimate_soft_deadline, into_call_parts, ReplayBody};
 use super::pick::{pick_target, Destination, PickedTarget};
 use super::{ClientAnswer, ClientCall, MIN_SERVER_ERROR_STATUS};
 use crate::body::AnswerBody;
--- a/crates/mesh/src/calls/mod.rs
+++ b/crates/mesh/src/calls/mod.rs
@@ -5,7 +5,7 @@
 mod admit;
 mod attempt;
 mod dispatch;
-mod message;
+mod outgoing;
 mod pick;
 
 use std::rc::Rc;
