--- a/crates/mesh/src/body.rs
+++ b/crates/mesh/src/body.rs
@@ -163,7 +163,7 @@
 
     /// Reads ahead until the body is complete or more than `max_bytes` are
     /// buffered. If the body is truncated before that, nothing of the answer has been
-    /// forwarded, and the call can be retried.
+    /// forwarded, and a repeatable call can be retried.
     ///
     /// # Errors
     /// [`BodyTruncated`] if the body ended early.
--- a/crates/mesh/src/calls/attempt.rs
+++ b/crates/mesh/src/calls/attempt.rs
@@ -21,8 +21,8 @@
 use crate::state::MeshShared;
 
 /// Number of bytes of an answer's body that are read before the answer's head is
-/// forwarded. If the body is truncated within these bytes, the call can be retried and
-/// get the answer of another attempt. All answers except downloads are shorter.
+/// forwarded. If the body is truncated within these bytes, a repeatable call can be
+/// retried and get the answer of another attempt. All answers except downloads are shorter.
 const READ_AHEAD_BYTES: usize = 32 * 1024;
 /// Time after which a call without an answer requests a PING on its link, if
 /// nothing else was received over the link in that time either.
--- a/crates/mesh/src/target.rs
+++ b/crates/mesh/src/target.rs
@@ -29,8 +29,8 @@
 /// Idle timeout of a connection if the target states none in `Keep-Alive`.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Margin by which a connection is closed before the idle timeout that the target
-/// states. A call sent just as the target closes the connection would be lost, without the
-/// daemon knowing whether it ran.
+/// states. A call sent just as the target closes the connection would be lost, without
+/// the daemon knowing whether it ran.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(1200);
 /// Maximum number of idle connections in the pool, besides those in use. Reuse saves
 /// the handshake of a new connection.
