--- a/crates/mesh/src/gate/run.rs
+++ b/crates/mesh/src/gate/run.rs
@@ -18,12 +18,12 @@
 use crate::rollouts::counters::{CountedOutcome, RunObservation};
 use crate::target::{ExchangeOutcome, ExchangeParams};
 
-/// Lowest status code that counts as a failure of the target.
-const FIRST_FAILURE_STATUS: u16 = 500;
+/// Lowest status code of an answer that counts as a failure of the target.
+const MIN_SERVER_ERROR_STATUS: u16 = 500;
 
 impl Gate {
     /// Waits for a slot at the target and runs a call there. Returns the reply for
-    /// the caller's daemon, and the body of the answer if the target gave one.
+    /// the client's daemon, and the body of the answer if the target gave one.
     ///
     /// `link` is the time that the answer needs on this host's link.
     pub async fn run(
@@ -40,15 +40,15 @@
             run: self.estimate_run_time(call),
             link,
         };
-        let none = AnswerBody::Whole(bytes::Bytes::new());
+        let empty_body = AnswerBody::Whole(bytes::Bytes::new());
         if let Some(reply) = self.refuse_held(call) {
-            return (reply, none);
+            return (reply, empty_body);
         }
-        let permit = match self.admit(call, request).await {
+        let permit = match self.wait_for_slot(call, request).await {
             Ok(permit) => permit,
             Err(declined) => {
                 self.record_decline(call, received, declined);
-                return (self.decline_reply(declined), none);
+                return (self.decline_reply(declined), empty_body);
             }
         };
         // The call may have become held, or a suspect, while it waited.
@@ -56,18 +56,18 @@
             .refuse_held(call)
             .or_else(|| self.decline_second_suspect(call))
         {
-            return (reply, none);
+            return (reply, empty_body);
         }
-        let instance = match self.state.borrow().tracker.current() {
+        let instance_id = match self.state.borrow().tracker.current() {
             Some(report) => report.key.id.clone(),
             None => String::new(),
         };
-        let started = self.clock.now();
+        let started_at = self.clock.now();
         let observation = self.observe_run(call);
         let params = ExchangeParams {
             address: self.address.get(),
-            instance: &instance,
-            remaining: request.deadline.saturating_duration_since(started),
+            instance_id: &instance_id,
+            time_to_deadline: request.deadline.saturating_duration_since(started_at),
             permit,
         };
         let outcome = self
@@ -76,9 +76,9 @@
             .await;
         let run = CallRun {
             call,
-            instance: &instance,
+            instance_id: &instance_id,
             received,
-            started,
+            started_at,
         };
         let (reply, body, counted_outcome) = self.evaluate(&run, outcome).await;
         if let Some(observation) = observation {
@@ -91,26 +91,26 @@
     /// there is no roll-out.
     fn observe_run(&self, call: &CallHead) -> Option<RunObservation> {
         self.rollouts.has_live_rollout(&call.service).then(|| {
-            let usual = call
+            let mean_run_time = call
                 .expected_run_time
-                .map(|usual| RunTime::from(usual).mean);
-            RunObservation::new(&self.rollouts, &self.clock, &call.kind, usual)
+                .map(|expected_run_time| RunTime::from(expected_run_time).mean);
+            RunObservation::new(&self.rollouts, &self.clock, &call.kind, mean_run_time)
         })
     }
 
-    /// Records how the run ended. Returns the reply for the caller's daemon, the
-    /// body of the answer, and what the run says of the target's version.
+    /// Records how the run ended. Returns the reply for the client's daemon, the
+    /// body of the answer, and the outcome that a roll-out of the service counts.
     async fn evaluate(
         &self,
         run: &CallRun<'_>,
         outcome: ExchangeOutcome,
     ) -> (ReplyHead, AnswerBody, CountedOutcome) {
-        let none = AnswerBody::Whole(bytes::Bytes::new());
+        let empty_body = AnswerBody::Whole(bytes::Bytes::new());
         match outcome {
             ExchangeOutcome::Answer(head, body) => {
-                let time_to_head = self.clock.now().saturating_duration_since(run.started);
+                let time_to_head = self.clock.now().saturating_duration_since(run.started_at);
                 self.record_answer(run, &head, time_to_head);
-                let counted_outcome = if head.status < FIRST_FAILURE_STATUS {
+                let counted_outcome = if head.status < MIN_SERVER_ERROR_STATUS {
                     CountedOutcome::Success
                 } else {
                     CountedOutcome::Failure
@@ -133,20 +133,20 @@
             }
             ExchangeOutcome::NotConnected(error) => {
                 let reply = self.record_unreachable(run, &error);
-                (reply, none, CountedOutcome::NotCounted)
+                (reply, empty_body, CountedOutcome::NotCounted)
             }
             ExchangeOutcome::Rejected(load) => {
                 self.record_failure(run, "rejected", &format!("stated load {load:?}"));
                 let reply = ReplyHead::Rejected { load: self.load() };
-                (reply, none, CountedOutcome::NotCounted)
+                (reply, empty_body, CountedOutcome::NotCounted)
             }
             ExchangeOutcome::Lost(reason) => {
                 self.record_failure(run, "lost", reason);
-                (self.lost_reply(None), none, CountedOutcome::Failure)
+                (self.lost_reply(None), empty_body, CountedOutcome::Failure)
             }
             ExchangeOutcome::ConnectionLost(reason) => {
                 let crash = self
-                    .record_crash_if_ended(run.call.identity, run.started)
+                    .record_crash_if_ended(run.call.identity, run.started_at)
                     .await;
                 let (verdict, counted_outcome) = if crash.is_some() {
                     ("target_ended", CountedOutcome::NotCounted)
@@ -154,7 +154,7 @@
                     ("lost", CountedOutcome::Failure)
                 };
                 self.record_failure(run, verdict, reason);
-                (self.lost_reply(crash), none, counted_outcome)
+                (self.lost_reply(crash), empty_body, counted_outcome)
             }
         }
     }
@@ -165,15 +165,17 @@
         self.metrics.record_run(run.waited(), time_to_head);
         {
             let mut state = self.state.borrow_mut();
-            if head.status < FIRST_FAILURE_STATUS {
-                let usual = run.call.expected_run_time.map(RunTime::from);
-                state.run_times.record(&run.call.kind, usual, time_to_head);
+            if head.status < MIN_SERVER_ERROR_STATUS {
+                let expected_run_time = run.call.expected_run_time.map(RunTime::from);
+                state
+                    .run_times
+                    .record(&run.call.kind, expected_run_time, time_to_head);
                 state.health.record(RunOutcome::Success);
             } else {
                 state.health.record(RunOutcome::Failure);
             }
         }
-        if head.status >= FIRST_FAILURE_STATUS {
+        if head.status >= MIN_SERVER_ERROR_STATUS {
             self.log_run(run, "answered_failure", &format!("status {}", head.status));
         }
     }
@@ -184,8 +186,8 @@
         self.log_run(run, verdict, reason);
     }
 
-    /// Records that the target accepted no connection. Returns the reply that
-    /// declines the call, as the target did not see it.
+    /// Records that the target accepted no connection, and marks the target as down.
+    /// Returns a reply that declines the call, as the call did not reach the target.
     fn record_unreachable(&self, run: &CallRun<'_>, error: &std::io::Error) -> ReplyHead {
         self.metrics.record_gate_verdict("unreachable");
         self.log_run(run, "unreachable", &error.to_string());
@@ -203,15 +205,15 @@
                 "event=gate_ran request={} call={} instance={} verdict={verdict} reason=\"{reason}\" waited_ms={} ran_ms={}",
                 run.call.id,
                 run.call.identity,
-                run.instance,
+                run.instance_id,
                 run.waited().as_millis(),
-                now.saturating_duration_since(run.started).as_millis()
+                now.saturating_duration_since(run.started_at).as_millis()
             );
         }
     }
 
     /// Counts and logs a declined call. The number of log lines is limited, as an
-    /// overloaded target declines hundreds of calls per second; the caller's daemon
+    /// overloaded target declines hundreds of calls per second; the client's daemon
     /// logs each attempt too.
     fn record_decline(&self, call: &CallHead, received: Instant, declined: Declined) {
         let now = self.clock.now();
@@ -243,16 +245,16 @@
         );
     }
 
-    fn lost_reply(&self, ended: Option<AgedCrash>) -> ReplyHead {
+    fn lost_reply(&self, crash: Option<AgedCrash>) -> ReplyHead {
         let load = self.load();
-        ReplyHead::Lost { ended, load }
+        ReplyHead::Lost { crash, load }
     }
 
     /// Refuses a call that the quarantine holds back; `None` if the call may run.
-    /// The caller's daemon may not know of the hold yet.
+    /// The client's daemon may not know of the hold yet.
     fn refuse_held(&self, call: &CallHead) -> Option<ReplyHead> {
-        let remaining = self.quarantine.remaining_hold(call.identity);
-        if remaining.is_zero() {
+        let remaining_hold = self.quarantine.remaining_hold(call.identity);
+        if remaining_hold.is_zero() {
             return None;
         }
         self.metrics.record_gate_verdict("held_back");
@@ -264,11 +266,11 @@
                 "event=gate_held_back request={} call={} left_ms={}",
                 call.id,
                 call.identity,
-                remaining.as_millis()
+                remaining_hold.as_millis()
             );
         }
         Some(ReplyHead::HeldBack {
-            remaining_us: to_micros(remaining),
+            remaining_us: to_micros(remaining_hold),
             load: self.load(),
         })
     }
@@ -303,19 +305,19 @@
 /// A call that was admitted and sent to the target.
 struct CallRun<'a> {
     call: &'a CallHead,
-    instance: &'a str,
+    instance_id: &'a str,
     received: Instant,
-    started: Instant,
+    started_at: Instant,
 }
 
 impl CallRun<'_> {
     /// Time that the call waited for a slot.
     fn waited(&self) -> Duration {
-        self.started.saturating_duration_since(self.received)
+        self.started_at.saturating_duration_since(self.received)
     }
 }
 
-/// The head of the target's answer for the caller's daemon, without the headers
+/// The head of the target's answer for the client's daemon, without the headers
 /// that apply to one connection only.
 fn answer_head(head: &ResponseHead) -> AnswerHead {
     let mut lines = Vec::with_capacity(256);
