--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -3,9 +3,9 @@
 //! (targets). None of this ships; it is what the tests and the demo run against.
 
 pub mod demo;
+pub mod fault_proxy;
 pub mod history;
 pub mod mesh;
-pub mod pipe;
 pub mod platform;
 pub mod ports;
 pub mod process;
--- a/crates/standin/src/mesh.rs
+++ b/crates/standin/src/mesh.rs
@@ -12,7 +12,7 @@
 };
 use filbert_tree::{SettingsTree, TreeDelta, VersionCodec, VersionRecord};
 
-use crate::pipe::FaultPipe;
+use crate::fault_proxy::FaultPipe;
 use crate::platform::PlatformHandle;
 use crate::ports::free_port;
 use crate::process::{DaemonPlan, DaemonProcess};
@@ -56,9 +56,9 @@
         for zone in &spec.zones {
             let mut platform_url = platform.url.clone();
             if spec.piped {
-                let pipe = FaultPipe::start(platform.address).await;
-                platform_url = format!("http://{}", pipe.address);
-                platform_pipes.insert(zone.clone(), pipe);
+                let fault_proxy = FaultPipe::start(platform.address).await;
+                platform_url = format!("http://{}", fault_proxy.address);
+                platform_pipes.insert(zone.clone(), fault_proxy);
             }
             for index in 0..spec.daemons_per_zone {
                 let id = format!("{zone}-d{index}");
--- a/crates/standin/src/process.rs
+++ b/crates/standin/src/process.rs
@@ -11,7 +11,7 @@
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 
-use crate::pipe::FaultPipe;
+use crate::fault_proxy::FaultPipe;
 use crate::ports::free_port;
 use crate::spec::MeshSpec;
 
@@ -40,7 +40,7 @@
             proxy_listen: loopback(),
             admin_listen: loopback(),
             relay_listen,
-            relay_advertise: link_pipe.as_ref().map(|pipe| pipe.address),
+            relay_advertise: link_pipe.as_ref().map(|fault_proxy| fault_proxy.address),
             platform: platform_url.to_owned(),
             distribution: spec.mode,
             timeouts: DaemonTimeouts {
--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use crate::pipe::FaultPipe;
+use crate::fault_proxy::FaultPipe;
 use crate::serving::{quiet_config, wait_listening};
 use filbert_store::TargetAnnouncement;
 use rocket::data::{Data, ToByteUnit};
@@ -298,9 +298,9 @@
         log: Arc<ExecutionLog>,
     ) -> (TargetHandle, FaultPipe) {
         let listen = SocketAddr::from(([127, 0, 0, 1], crate::ports::free_port()));
-        let pipe = FaultPipe::start(listen).await;
-        let handle = Self::start_at(spec, listen, pipe.address, log).await;
-        (handle, pipe)
+        let fault_proxy = FaultPipe::start(listen).await;
+        let handle = Self::start_at(spec, listen, fault_proxy.address, log).await;
+        (handle, fault_proxy)
     }
 
     async fn start_at(
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -154,7 +154,8 @@
         daemon_admin: daemon.admin_url.clone(),
         delay: Duration::ZERO,
     };
-    let (_target, pipe) = TargetHandle::start_piped(&target, Arc::clone(&mesh.executions)).await;
+    let (_target, fault_proxy) =
+        TargetHandle::start_piped(&target, Arc::clone(&mesh.executions)).await;
     let known = support::eventually(SETTLE_WITHIN, || async {
         get(&daemon.proxy_url, "north-signs", "/quotes/first")
             .await
@@ -173,7 +174,7 @@
     for call in opened {
         assert_eq!(call.await.expect("a call ends"), 200);
     }
-    pipe.silence_open();
+    fault_proxy.silence_open();
     for order in 0..4 {
         let reply = reqwest::Client::new()
             .post(format!("{}/orders", daemon.proxy_url))
--- a/tests/convergence_faults.rs
+++ b/tests/convergence_faults.rs
@@ -6,8 +6,8 @@
 
 use std::time::Duration;
 
+use filbert_standin::fault_proxy::PipeMode;
 use filbert_standin::mesh::LocalMesh;
-use filbert_standin::pipe::PipeMode;
 use filbert_store::InjectedFaults;
 use nix::sys::signal::Signal;
 use rstest::rstest;
@@ -101,17 +101,17 @@
         ),
         MeshFault::ZoneCut => mesh.platform_pipes["zone-a"].set_mode(PipeMode::Cut),
         MeshFault::PlatformSilent => {
-            for pipe in mesh.platform_pipes.values() {
-                pipe.silence_open();
+            for fault_proxy in mesh.platform_pipes.values() {
+                fault_proxy.silence_open();
             }
         }
         MeshFault::LinksSilent => {
-            for pipe in mesh
+            for fault_proxy in mesh
                 .daemons
                 .iter()
                 .filter_map(|daemon| daemon.link_pipe.as_ref())
             {
-                pipe.silence_open();
+                fault_proxy.silence_open();
             }
         }
     }
--- a/tests/mesh_silence.rs
+++ b/tests/mesh_silence.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use filbert_platform_standin::{Host, RouteSpec, StandinStore};
-use filbert_standin::pipe::{FaultPipe, PipeMode};
+use filbert_standin::fault_proxy::{FaultPipe, PipeMode};
 use users::{eventually, host_spec, publish, Fleet, SETTLE_WITHIN};
 
 /// Time within which an accepted version must be in force on every host.
@@ -34,13 +34,13 @@
 async fn a_store_unresponsive_to_both_readers_delays_no_version() {
     let store = StandinStore::start().await;
     publish(&store, 1, &routes("/first/"));
-    let mut pipes = Vec::new();
+    let mut fault_proxies = Vec::new();
     let mut hosts = Vec::new();
     for name in ["one", "two", "three", "four"] {
-        let pipe = FaultPipe::start(store.address).await;
+        let fault_proxy = FaultPipe::start(store.address).await;
         let mut spec = host_spec(&store, name, "a", "quotes");
-        spec.store = pipe.address;
-        pipes.push(pipe);
+        spec.store = fault_proxy.address;
+        fault_proxies.push(fault_proxy);
         hosts.push(Host::start(spec).await);
     }
     let fleet = Fleet { store, hosts };
@@ -52,9 +52,9 @@
         .iter()
         .filter(|host| is_follower(host))
         .collect();
-    for (host, pipe) in fleet.hosts.iter().zip(&pipes) {
+    for (host, fault_proxy) in fleet.hosts.iter().zip(&fault_proxies) {
         if !is_follower(host) {
-            pipe.set_mode(PipeMode::Swallow);
+            fault_proxy.set_mode(PipeMode::Swallow);
         }
     }
     publish(&fleet.store, 2, &routes("/second/"));
