--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -40,7 +40,7 @@
     MeshSpec::new(Path::new(DAEMON_EXE), &[])
         .zones(&["zone-a"])
         .daemons_per_zone(per_zone)
-        .poll(POLL)
+        .poll_interval(POLL)
 }
 
 fn usage(daemon: &DaemonProcess) -> ProcessUsage {
@@ -53,7 +53,7 @@
 }
 
 async fn settle(mesh: &LocalMesh, number: u64) {
-    mesh.wait_in_force(number, SETTLE)
+    mesh.wait_until_applied(number, SETTLE)
         .await
         .expect("the version comes into force");
 }
@@ -74,7 +74,7 @@
 }
 
 fn spent(before: ProcessUsage, after: ProcessUsage) -> Duration {
-    after.processor.saturating_sub(before.processor)
+    after.cpu_time.saturating_sub(before.cpu_time)
 }
 
 /// Share of a core, in hundredths of a percent of precision.
@@ -193,7 +193,7 @@
             for target in 0..per_host {
                 let spec = TargetSpec {
                     service: format!("s{}", target % 3),
-                    daemon_admin: daemon.admin_url.clone(),
+                    daemon_admin_url: daemon.admin_url.clone(),
                     delay: Duration::ZERO,
                 };
                 targets.push(TargetHandle::start(&spec, Arc::clone(&log)).await);
@@ -338,7 +338,7 @@
 }
 
 fn main() {
-    filbert_standin::quiet_logs();
+    filbert_standin::init_error_logger();
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
--- a/benches/convergence.rs
+++ b/benches/convergence.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use filbert_daemon::settings::DistributionMode;
-use filbert_standin::history::{applied_history, AppliedRecord};
+use filbert_standin::history::{applied_history, AppliedVersion};
 use filbert_standin::mesh::LocalMesh;
 use filbert_standin::spec::MeshSpec;
 use filbert_standin::trees::{with_small_edit, TreeShape};
@@ -57,13 +57,13 @@
 async fn run(daemons: usize, mode: DistributionMode) -> RunFigures {
     let spec = MeshSpec::new(Path::new(DAEMON_EXE), &["s0", "s1", "s2"])
         .daemons_per_zone(daemons / 2)
-        .target_hosts(2)
-        .poll(POLL)
+        .target_hosts_per_zone(2)
+        .poll_interval(POLL)
         .mode(mode);
     let mesh = LocalMesh::start(spec).await;
     let tree = SHAPE.build();
     mesh.publish(1, &tree, None).await;
-    mesh.wait_in_force(1, Duration::from_secs(60))
+    mesh.wait_until_applied(1, Duration::from_secs(60))
         .await
         .expect("version 1 in force");
     tokio::time::sleep(PAUSE).await;
@@ -82,7 +82,7 @@
         in_force = next;
         tokio::time::sleep(PAUSE).await;
     }
-    mesh.wait_in_force(CHANGES + 1, Duration::from_secs(60))
+    mesh.wait_until_applied(CHANGES + 1, Duration::from_secs(60))
         .await
         .expect("every change in force");
     let elapsed = started.elapsed().unwrap_or_default().as_secs_f64();
@@ -106,7 +106,7 @@
 
 /// Milliseconds from accept to in force: on each daemon, and on the last one.
 fn convergence(
-    history: &[AppliedRecord],
+    history: &[AppliedVersion],
     accepts: &[(u64, SystemTime)],
 ) -> (Histogram<u64>, Histogram<u64>) {
     let mut each = Histogram::new(3).expect("histogram");
@@ -128,7 +128,7 @@
 
 #[allow(clippy::cast_precision_loss)]
 fn main() {
-    filbert_standin::quiet_logs();
+    filbert_standin::init_error_logger();
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
--- a/benches/mesh.rs
+++ b/benches/mesh.rs
@@ -58,19 +58,19 @@
     times
 }
 
-fn processor(fleet: &Fleet) -> Duration {
+fn cpu_time(fleet: &Fleet) -> Duration {
     fleet
         .hosts
         .iter()
         .filter_map(|host| ProcessUsage::read(host.pid()?))
-        .map(|usage| usage.processor)
+        .map(|usage| usage.cpu_time)
         .sum()
 }
 
 /// Makes calls from the first host, which has no target of the service, and
 /// gives the processor time of all daemons for each.
 async fn processor_per_call(fleet: &Fleet) -> Duration {
-    let before = processor(fleet);
+    let before = cpu_time(fleet);
     let address = fleet.hosts[0].calls;
     let mut tasks = Vec::new();
     for connection in 0..CONNECTIONS {
@@ -91,7 +91,7 @@
         task.await.expect("a client");
     }
     let calls = u32::try_from(CALLS).expect("a count");
-    processor(fleet).saturating_sub(before) / calls
+    cpu_time(fleet).saturating_sub(before) / calls
 }
 
 #[tokio::main]
--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -116,7 +116,7 @@
 }
 
 async fn report_in_force(mesh: &LocalMesh, number: u64, accepted: Instant) -> Result<(), String> {
-    mesh.wait_in_force(number, Duration::from_secs(10))
+    mesh.wait_until_applied(number, Duration::from_secs(10))
         .await
         .ok_or_else(|| format!("version {number} did not come into force"))?;
     println!(
--- a/crates/standin/src/fault_proxy.rs
+++ b/crates/standin/src/fault_proxy.rs
@@ -12,32 +12,32 @@
 
 /// What the pipe does to bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum PipeMode {
+pub enum FaultMode {
     /// Passes them on.
     #[default]
-    Pass,
+    Forward,
     /// Passes them on after a delay.
     Delay(Duration),
     /// Takes them and passes nothing on; connections stay open.
-    Swallow,
+    Blackhole,
     /// Swallows what comes back; what is sent arrives.
-    SwallowBack,
+    BlackholeResponses,
     /// Closes connections, also new ones.
-    Cut,
+    Disconnect,
 }
 
 #[derive(Debug, Default)]
 struct PipeState {
-    mode: Mutex<PipeMode>,
+    mode: Mutex<FaultMode>,
     /// Connections opened before this count of them have gone silent for good.
     silent_before: AtomicU64,
     opened: AtomicU64,
 }
 
 impl PipeState {
-    fn mode(&self, connection: u64) -> PipeMode {
+    fn mode(&self, connection: u64) -> FaultMode {
         if connection < self.silent_before.load(Ordering::SeqCst) {
-            return PipeMode::Swallow;
+            return FaultMode::Blackhole;
         }
         // The mode is one value, so a poisoned lock is still usable.
         *self
@@ -49,24 +49,24 @@
 
 /// A running pipe.
 #[derive(Debug)]
-pub struct FaultPipe {
+pub struct FaultProxy {
     /// Where it listens.
     pub address: SocketAddr,
     state: Arc<PipeState>,
     task: tokio::task::JoinHandle<()>,
 }
 
-impl FaultPipe {
+impl FaultProxy {
     /// Starts a pipe on a free loopback port that leads to `to`.
     ///
     /// # Panics
     /// When the port cannot be bound.
-    pub async fn start(to: SocketAddr) -> FaultPipe {
+    pub async fn start(to: SocketAddr) -> FaultProxy {
         let address = SocketAddr::from(([127, 0, 0, 1], crate::ports::free_port()));
         let listener = TcpListener::bind(address).await.expect("a free port binds");
         let state = Arc::new(PipeState::default());
         let task = tokio::spawn(accept_loop(listener, to, Arc::clone(&state)));
-        FaultPipe {
+        FaultProxy {
             address,
             state,
             task,
@@ -74,7 +74,7 @@
     }
 
     /// Sets what happens to the bytes of every connection that is not silent.
-    pub fn set_mode(&self, mode: PipeMode) {
+    pub fn set_mode(&self, mode: FaultMode) {
         *self
             .state
             .mode
@@ -83,13 +83,13 @@
     }
 
     /// Lets every connection open now go silent for good; new ones work.
-    pub fn silence_open(&self) {
+    pub fn blackhole_open_connections(&self) {
         let opened = self.state.opened.load(Ordering::SeqCst);
         self.state.silent_before.store(opened, Ordering::SeqCst);
     }
 }
 
-impl Drop for FaultPipe {
+impl Drop for FaultProxy {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -100,7 +100,7 @@
         let connection = state.opened.fetch_add(1, Ordering::SeqCst);
         let state = Arc::clone(&state);
         tokio::spawn(async move {
-            if state.mode(connection) == PipeMode::Cut {
+            if state.mode(connection) == FaultMode::Disconnect {
                 return;
             }
             let Ok(far) = TcpStream::connect(to).await else {
@@ -121,7 +121,7 @@
 
 /// Ends once the connection is cut.
 async fn watch_cut(state: &PipeState, connection: u64) {
-    while state.mode(connection) != PipeMode::Cut {
+    while state.mode(connection) != FaultMode::Disconnect {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
@@ -139,18 +139,18 @@
             return;
         };
         let mode = match state.mode(connection) {
-            PipeMode::SwallowBack if is_back => PipeMode::Swallow,
-            PipeMode::SwallowBack => PipeMode::Pass,
+            FaultMode::BlackholeResponses if is_back => FaultMode::Blackhole,
+            FaultMode::BlackholeResponses => FaultMode::Forward,
             mode => mode,
         };
         match mode {
-            PipeMode::Cut => return,
+            FaultMode::Disconnect => return,
             // A silent connection tells neither end anything, not even that
             // the other one closed.
-            PipeMode::Swallow if length == 0 => std::future::pending().await,
-            PipeMode::Swallow => continue,
-            PipeMode::Delay(delay) => tokio::time::sleep(delay).await,
-            PipeMode::Pass | PipeMode::SwallowBack => {}
+            FaultMode::Blackhole if length == 0 => std::future::pending().await,
+            FaultMode::Blackhole => continue,
+            FaultMode::Delay(delay) => tokio::time::sleep(delay).await,
+            FaultMode::Forward | FaultMode::BlackholeResponses => {}
         }
         if length == 0 {
             let _ = to.shutdown().await;
--- a/crates/standin/src/history.rs
+++ b/crates/standin/src/history.rs
@@ -7,7 +7,7 @@
 
 /// One version put in force on one daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AppliedRecord {
+pub struct AppliedVersion {
     /// The daemon.
     pub daemon: String,
     /// Its wall clock, in milliseconds since the Unix epoch.
@@ -20,7 +20,7 @@
 
 /// Every application of a version so far, daemon by daemon, each in order.
 #[must_use]
-pub fn applied_history(mesh: &LocalMesh) -> Vec<AppliedRecord> {
+pub fn applied_history(mesh: &LocalMesh) -> Vec<AppliedVersion> {
     let mut history = Vec::new();
     for daemon in &mesh.daemons {
         let log = std::fs::read_to_string(&daemon.log_path).unwrap_or_default();
@@ -33,7 +33,7 @@
 /// the two versions. Restarts of a daemon append to the same history: what a
 /// new process applies first counts against what the old one had in force.
 #[must_use]
-pub fn backward_moves(history: &[AppliedRecord]) -> Vec<(String, u64, u64)> {
+pub fn version_regressions(history: &[AppliedVersion]) -> Vec<(String, u64, u64)> {
     let mut highest: std::collections::BTreeMap<&str, u64> = std::collections::BTreeMap::new();
     let mut moves = Vec::new();
     for record in history {
@@ -46,12 +46,12 @@
     moves
 }
 
-fn parse_line(daemon: &str, line: &str) -> Option<AppliedRecord> {
+fn parse_line(daemon: &str, line: &str) -> Option<AppliedVersion> {
     if field(line, "event")? != "applied" {
         return None;
     }
     let at = DateTime::parse_from_rfc3339(field(line, "ts")?).ok()?;
-    Some(AppliedRecord {
+    Some(AppliedVersion {
         daemon: daemon.to_owned(),
         at_ms: u64::try_from(at.timestamp_millis()).ok()?,
         from: field(line, "from")?.parse().ok()?,
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -18,7 +18,7 @@
 /// Keeps rocket's request lines out of a process that hosts stand-ins: a
 /// logger that passes only errors is set first, so rocket does not set its
 /// own. Call once, before starting any stand-in; later calls do nothing.
-pub fn quiet_logs() {
+pub fn init_error_logger() {
     let _ = flexi_logger::Logger::try_with_str("error,rocket=off,_=off")
         .map(flexi_logger::Logger::start);
 }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -27,7 +27,7 @@
 #[rocket::main]
 async fn main() -> ExitCode {
     error_stack::Report::set_color_mode(error_stack::fmt::ColorMode::None);
-    filbert_standin::quiet_logs();
+    filbert_standin::init_error_logger();
     match Args::parse().command {
         StandinCommand::Platform { port } => {
             let store = std::sync::Arc::default();
--- a/crates/standin/src/mesh.rs
+++ b/crates/standin/src/mesh.rs
@@ -12,10 +12,10 @@
 };
 use filbert_tree::{SettingsTree, TreeDelta, VersionCodec, VersionRecord};
 
-use crate::fault_proxy::FaultPipe;
+use crate::fault_proxy::FaultProxy;
 use crate::platform::PlatformHandle;
 use crate::ports::free_port;
-use crate::process::{DaemonPlan, DaemonProcess};
+use crate::process::{DaemonProcess, DaemonSpec};
 use crate::spec::MeshSpec;
 use crate::target::{ExecutionLog, TargetHandle, TargetSpec};
 
@@ -24,7 +24,7 @@
     /// The platform stand-in.
     pub platform: PlatformHandle,
     /// The pipes to the platform by zone, in a piped mesh.
-    pub platform_pipes: BTreeMap<String, FaultPipe>,
+    pub platform_fault_proxies: BTreeMap<String, FaultProxy>,
     /// The daemons, zone by zone.
     pub daemons: Vec<DaemonProcess>,
     /// The targets.
@@ -52,23 +52,23 @@
         ));
         std::fs::create_dir_all(&dir).expect("a temporary directory can be made");
         let mut daemons = Vec::new();
-        let mut platform_pipes = BTreeMap::new();
+        let mut platform_fault_proxies = BTreeMap::new();
         for zone in &spec.zones {
             let mut platform_url = platform.url.clone();
-            if spec.piped {
-                let fault_proxy = FaultPipe::start(platform.address).await;
+            if spec.with_fault_proxies {
+                let fault_proxy = FaultProxy::start(platform.address).await;
                 platform_url = format!("http://{}", fault_proxy.address);
-                platform_pipes.insert(zone.clone(), fault_proxy);
+                platform_fault_proxies.insert(zone.clone(), fault_proxy);
             }
             for index in 0..spec.daemons_per_zone {
                 let id = format!("{zone}-d{index}");
-                let plan = DaemonPlan::new(&spec, &id, zone, &platform_url).await;
+                let plan = DaemonSpec::new(&spec, &id, zone, &platform_url).await;
                 daemons.push(DaemonProcess::spawn(&spec.daemon_exe, &dir, plan));
             }
         }
         for daemon in &daemons {
             assert!(
-                daemon.wait_ready().await,
+                daemon.wait_until_ready().await,
                 "daemon {} did not start; see {}",
                 daemon.id,
                 daemon.log_path.display()
@@ -78,13 +78,13 @@
         let mut targets = Vec::new();
         let per_zone = spec.daemons_per_zone.max(1);
         for (index, daemon) in daemons.iter().enumerate() {
-            if index % per_zone >= spec.target_hosts {
+            if index % per_zone >= spec.target_hosts_per_zone {
                 continue;
             }
             for service in &spec.services {
                 let target_spec = TargetSpec {
                     service: service.clone(),
-                    daemon_admin: daemon.admin_url.clone(),
+                    daemon_admin_url: daemon.admin_url.clone(),
                     delay: spec.target_delay,
                 };
                 targets.push(TargetHandle::start(&target_spec, Arc::clone(&executions)).await);
@@ -92,7 +92,7 @@
         }
         LocalMesh {
             platform,
-            platform_pipes,
+            platform_fault_proxies,
             daemons,
             targets,
             executions,
@@ -167,7 +167,7 @@
     /// Waits until every daemon's admin status shows `number` in force and
     /// `services` each with at least one serving target; returns the time it
     /// took, or `None` after `within`.
-    pub async fn wait_in_force(&self, number: u64, within: Duration) -> Option<Duration> {
+    pub async fn wait_until_applied(&self, number: u64, within: Duration) -> Option<Duration> {
         let started = Instant::now();
         let http = reqwest::Client::new();
         while started.elapsed() < within {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -16,7 +16,7 @@
 use rocket::serde::json::Json;
 use rocket::{get, post, put, routes, State};
 
-use crate::serving::{quiet_config, wait_listening};
+use crate::serving::{silent_rocket_config, wait_until_listening};
 
 /// The stand-in's whole state. Shared between the server and tests.
 #[derive(Default)]
@@ -204,10 +204,12 @@
 /// Builds the stand-in server on `port` over `store`.
 #[must_use]
 pub fn server(port: u16, store: Arc<PlatformStore>) -> rocket::Rocket<rocket::Build> {
-    rocket::custom(quiet_config(port)).manage(store).mount(
-        "/",
-        routes![table_get, table_put, table_scan, object_put, object_get, set_faults, stats],
-    )
+    rocket::custom(silent_rocket_config(port))
+        .manage(store)
+        .mount(
+            "/",
+            routes![table_get, table_put, table_scan, object_put, object_get, set_faults, stats],
+        )
 }
 
 /// A running stand-in: its address and its store.
@@ -236,7 +238,7 @@
         let shutdown = ignited.shutdown();
         tokio::spawn(ignited.launch());
         let address = SocketAddr::from(([127, 0, 0, 1], port));
-        wait_listening(port).await;
+        wait_until_listening(port).await;
         PlatformHandle {
             url: format!("http://{address}"),
             address,
--- a/crates/standin/src/process.rs
+++ b/crates/standin/src/process.rs
@@ -11,26 +11,26 @@
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 
-use crate::fault_proxy::FaultPipe;
+use crate::fault_proxy::FaultProxy;
 use crate::ports::free_port;
 use crate::spec::MeshSpec;
 
 /// What a `filbertd` process is started with.
-pub struct DaemonPlan {
+pub struct DaemonSpec {
     /// Its settings.
     pub settings: DaemonSettings,
     /// The pipe in front of its relay port, in a piped mesh.
-    pub link_pipe: Option<FaultPipe>,
+    pub relay_fault_proxy: Option<FaultProxy>,
 }
 
-impl DaemonPlan {
+impl DaemonSpec {
     /// Plans daemon `id` of `zone` for the mesh `spec`, on free ports, with
     /// the platform at `platform_url`.
-    pub async fn new(spec: &MeshSpec, id: &str, zone: &str, platform_url: &str) -> DaemonPlan {
+    pub async fn new(spec: &MeshSpec, id: &str, zone: &str, platform_url: &str) -> DaemonSpec {
         let loopback = || SocketAddr::from(([127, 0, 0, 1], free_port()));
         let relay_listen = loopback();
-        let link_pipe = if spec.piped {
-            Some(FaultPipe::start(relay_listen).await)
+        let relay_fault_proxy = if spec.with_fault_proxies {
+            Some(FaultProxy::start(relay_listen).await)
         } else {
             None
         };
@@ -40,11 +40,13 @@
             proxy_listen: loopback(),
             admin_listen: loopback(),
             relay_listen,
-            relay_advertise: link_pipe.as_ref().map(|fault_proxy| fault_proxy.address),
+            relay_advertise: relay_fault_proxy
+                .as_ref()
+                .map(|fault_proxy| fault_proxy.address),
             platform: platform_url.to_owned(),
             distribution: spec.mode,
             timeouts: DaemonTimeouts {
-                poll_ms: u64::try_from(spec.poll.as_millis()).unwrap_or(u64::MAX),
+                poll_ms: u64::try_from(spec.poll_interval.as_millis()).unwrap_or(u64::MAX),
                 platform_ms: 500,
                 target_expiry_ms: 2_000,
                 shutdown_grace_ms: 3_000,
@@ -55,9 +57,9 @@
                 ..RelaySettings::default()
             },
         };
-        DaemonPlan {
+        DaemonSpec {
             settings,
-            link_pipe,
+            relay_fault_proxy,
         }
     }
 }
@@ -73,7 +75,7 @@
     /// Its admin URL.
     pub admin_url: String,
     /// The pipe in front of its relay port, in a piped mesh.
-    pub link_pipe: Option<FaultPipe>,
+    pub relay_fault_proxy: Option<FaultProxy>,
     /// Its settings file.
     pub config_path: PathBuf,
     /// Its log file.
@@ -87,7 +89,7 @@
     /// # Panics
     /// When the file cannot be written or the process cannot start.
     #[must_use]
-    pub fn spawn(exe: &Path, dir: &Path, plan: DaemonPlan) -> DaemonProcess {
+    pub fn spawn(exe: &Path, dir: &Path, plan: DaemonSpec) -> DaemonProcess {
         let config_path = dir.join(format!("{}.toml", plan.settings.id));
         let log_path = dir.join(format!("{}.log", plan.settings.id));
         let text = toml::to_string(&plan.settings).expect("daemon settings are TOML");
@@ -97,7 +99,7 @@
             admin_url: format!("http://{}", plan.settings.admin_listen),
             id: plan.settings.id,
             zone: plan.settings.zone,
-            link_pipe: plan.link_pipe,
+            relay_fault_proxy: plan.relay_fault_proxy,
             config_path,
             log_path,
             child: None,
@@ -175,7 +177,7 @@
 
     /// Waits until the admin endpoint answers, for at most ten seconds.
     /// Returns whether it did.
-    pub async fn wait_ready(&self) -> bool {
+    pub async fn wait_until_ready(&self) -> bool {
         let http = reqwest::Client::new();
         let url = format!("{}/status", self.admin_url);
         for _ in 0..1000 {
--- a/crates/standin/src/serving.rs
+++ b/crates/standin/src/serving.rs
@@ -5,7 +5,7 @@
 
 /// A rocket configuration on loopback that prints nothing.
 #[must_use]
-pub fn quiet_config(port: u16) -> rocket::Config {
+pub fn silent_rocket_config(port: u16) -> rocket::Config {
     rocket::Config {
         port,
         address: std::net::Ipv4Addr::LOCALHOST.into(),
@@ -17,7 +17,7 @@
 
 /// Waits until something accepts connections on the loopback `port`, for at
 /// most five seconds.
-pub async fn wait_listening(port: u16) {
+pub async fn wait_until_listening(port: u16) {
     let address = SocketAddr::from(([127, 0, 0, 1], port));
     for _ in 0..500 {
         if tokio::net::TcpStream::connect(address).await.is_ok() {
--- a/crates/standin/src/spec.rs
+++ b/crates/standin/src/spec.rs
@@ -21,12 +21,12 @@
     /// How versions and targets reach the daemons.
     pub mode: DistributionMode,
     /// Hosts of each zone that have targets; the others have a daemon only.
-    pub target_hosts: usize,
+    pub target_hosts_per_zone: usize,
     /// How often a daemon that reads the platform does so.
-    pub poll: Duration,
+    pub poll_interval: Duration,
     /// Whether pipes stand in front of the platform, zone by zone, and of
     /// every relay port, for tests to cut.
-    pub piped: bool,
+    pub with_fault_proxies: bool,
 }
 
 impl MeshSpec {
@@ -43,9 +43,9 @@
                 .collect(),
             target_delay: Duration::ZERO,
             mode: DistributionMode::Relay,
-            target_hosts: usize::MAX,
-            poll: Duration::from_millis(100),
-            piped: false,
+            target_hosts_per_zone: usize::MAX,
+            poll_interval: Duration::from_millis(100),
+            with_fault_proxies: false,
         }
     }
 
@@ -72,22 +72,22 @@
 
     /// Sets how many hosts of each zone have targets.
     #[must_use]
-    pub fn target_hosts(mut self, count: usize) -> MeshSpec {
-        self.target_hosts = count;
+    pub fn target_hosts_per_zone(mut self, count: usize) -> MeshSpec {
+        self.target_hosts_per_zone = count;
         self
     }
 
     /// Sets how often a daemon that reads the platform does so.
     #[must_use]
-    pub fn poll(mut self, poll: Duration) -> MeshSpec {
-        self.poll = poll;
+    pub fn poll_interval(mut self, poll_interval: Duration) -> MeshSpec {
+        self.poll_interval = poll_interval;
         self
     }
 
     /// Puts pipes in front of the platform and of every relay port.
     #[must_use]
-    pub fn piped(mut self) -> MeshSpec {
-        self.piped = true;
+    pub fn with_fault_proxies(mut self) -> MeshSpec {
+        self.with_fault_proxies = true;
         self
     }
 
--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -10,8 +10,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use crate::fault_proxy::FaultPipe;
-use crate::serving::{quiet_config, wait_listening};
+use crate::fault_proxy::FaultProxy;
+use crate::serving::{silent_rocket_config, wait_until_listening};
 use filbert_store::TargetAnnouncement;
 use rocket::data::{Data, ToByteUnit};
 use rocket::http::{Header, Status};
@@ -21,7 +21,7 @@
 use serde::{Deserialize, Serialize};
 
 /// How often a target re-announces itself and its load.
-pub const ANNOUNCE_EVERY: Duration = Duration::from_millis(300);
+pub const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(300);
 
 /// How long a mute target holds a call: longer than any test waits.
 const MUTE_TIME: Duration = Duration::from_secs(45);
@@ -58,7 +58,7 @@
     }
 
     /// Whether a call with this request id has reached any target.
-    pub fn has_reached(&self, request_id: &str) -> bool {
+    pub fn has_received(&self, request_id: &str) -> bool {
         self.reached_ids().contains(request_id)
     }
 
@@ -105,11 +105,11 @@
     #[default]
     Normal,
     /// Declines them all as not run, as when shedding load.
-    Shed,
+    ShedsLoad,
     /// Fails them all at once, while its reports look idle and well.
-    Failing,
+    Fails,
     /// Runs them and never answers.
-    Mute,
+    NeverResponds,
 }
 
 struct TargetState {
@@ -119,7 +119,7 @@
     mode: Mutex<TargetMode>,
     in_flight: AtomicU32,
     served: AtomicU32,
-    declined: AtomicU32,
+    misdirected: AtomicU32,
     log: Arc<ExecutionLog>,
 }
 
@@ -172,7 +172,7 @@
         self.log.note_reached(headers.request_id.as_ref());
         let meant = headers.service.as_ref();
         if meant.is_some_and(|service| *service != self.service) {
-            self.declined.fetch_add(1, Ordering::SeqCst);
+            self.misdirected.fetch_add(1, Ordering::SeqCst);
             let status = Status::new(421);
             return Some(TargetReply::Misdirected((
                 status,
@@ -180,9 +180,9 @@
             )));
         }
         match self.mode() {
-            TargetMode::Normal | TargetMode::Mute => None,
-            TargetMode::Failing => Some(TargetReply::Failed(Status::InternalServerError)),
-            TargetMode::Shed => Some(TargetReply::Declined(
+            TargetMode::Normal | TargetMode::NeverResponds => None,
+            TargetMode::Fails => Some(TargetReply::Failed(Status::InternalServerError)),
+            TargetMode::ShedsLoad => Some(TargetReply::Declined(
                 (Status::ServiceUnavailable, "shedding load"),
                 Header::new("x-filbert-outcome", "not-run"),
             )),
@@ -201,7 +201,7 @@
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
         }
-        if self.mode() == TargetMode::Mute {
+        if self.mode() == TargetMode::NeverResponds {
             tokio::time::sleep(MUTE_TIME).await;
         }
         let load = self.in_flight.fetch_sub(1, Ordering::SeqCst) - 1;
@@ -264,7 +264,7 @@
     /// The service it serves.
     pub service: String,
     /// Admin URL of the daemon on its host, such as `http://127.0.0.1:7101`.
-    pub daemon_admin: String,
+    pub daemon_admin_url: String,
     /// Time it takes to answer each call.
     pub delay: Duration,
 }
@@ -293,12 +293,12 @@
     ///
     /// # Panics
     /// When the server or the pipe cannot start.
-    pub async fn start_piped(
+    pub async fn start_behind_fault_proxy(
         spec: &TargetSpec,
         log: Arc<ExecutionLog>,
-    ) -> (TargetHandle, FaultPipe) {
+    ) -> (TargetHandle, FaultProxy) {
         let listen = SocketAddr::from(([127, 0, 0, 1], crate::ports::free_port()));
-        let fault_proxy = FaultPipe::start(listen).await;
+        let fault_proxy = FaultProxy::start(listen).await;
         let handle = Self::start_at(spec, listen, fault_proxy.address, log).await;
         (handle, fault_proxy)
     }
@@ -318,10 +318,10 @@
             mode: Mutex::new(TargetMode::Normal),
             in_flight: AtomicU32::new(0),
             served: AtomicU32::new(0),
-            declined: AtomicU32::new(0),
+            misdirected: AtomicU32::new(0),
             log,
         });
-        let ignited = rocket::custom(quiet_config(port))
+        let ignited = rocket::custom(silent_rocket_config(port))
             .manage(Arc::clone(&state))
             .mount("/", routes![read_call, write_call])
             .ignite()
@@ -329,10 +329,10 @@
             .expect("a stand-in target ignites");
         let shutdown = ignited.shutdown();
         tokio::spawn(ignited.launch());
-        wait_listening(port).await;
+        wait_until_listening(port).await;
         let leaving = Arc::new(AtomicBool::new(false));
         let announcer = tokio::spawn(announce_loop(
-            spec.daemon_admin.clone(),
+            spec.daemon_admin_url.clone(),
             Arc::clone(&state),
             Arc::clone(&leaving),
         ));
@@ -368,12 +368,12 @@
 
     /// Calls meant for another service that it has declined so far.
     #[must_use]
-    pub fn declined(&self) -> u32 {
-        self.state.declined.load(Ordering::SeqCst)
+    pub fn misdirected(&self) -> u32 {
+        self.state.misdirected.load(Ordering::SeqCst)
     }
 
     /// Announces that it is leaving; it keeps serving calls already sent.
-    pub fn leave(&self) {
+    pub fn announce_leaving(&self) {
         self.leaving.store(true, Ordering::SeqCst);
     }
 
@@ -384,9 +384,13 @@
     }
 }
 
-async fn announce_loop(daemon_admin: String, state: Arc<TargetState>, leaving: Arc<AtomicBool>) {
+async fn announce_loop(
+    daemon_admin_url: String,
+    state: Arc<TargetState>,
+    leaving: Arc<AtomicBool>,
+) {
     let http = reqwest::Client::new();
-    let url = format!("{daemon_admin}/announce");
+    let url = format!("{daemon_admin_url}/announce");
     let mut was_leaving = false;
     loop {
         let now_leaving = leaving.load(Ordering::SeqCst);
@@ -401,13 +405,13 @@
         let _ = http
             .post(&url)
             .json(&announcement)
-            .timeout(ANNOUNCE_EVERY)
+            .timeout(ANNOUNCE_INTERVAL)
             .send()
             .await;
         if now_leaving && !was_leaving {
             was_leaving = true;
             continue;
         }
-        tokio::time::sleep(ANNOUNCE_EVERY).await;
+        tokio::time::sleep(ANNOUNCE_INTERVAL).await;
     }
 }
--- a/crates/standin/src/usage.rs
+++ b/crates/standin/src/usage.rs
@@ -9,7 +9,7 @@
 pub struct ProcessUsage {
     /// Processor time, user and system together, in steps of a clock tick
     /// (10 ms as a rule).
-    pub processor: Duration,
+    pub cpu_time: Duration,
     /// Resident memory, in KiB.
     pub resident_kib: u64,
 }
@@ -34,7 +34,7 @@
             .parse()
             .ok()?;
         Some(ProcessUsage {
-            processor: Duration::from_millis((user + system) * ticks_ms),
+            cpu_time: Duration::from_millis((user + system) * ticks_ms),
             resident_kib,
         })
     }
--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -80,9 +80,9 @@
 }
 
 #[rstest]
-#[case::sheds_load(TargetCase { mode: TargetMode::Shed, allowed_failures: 0 })]
-#[case::fails_but_looks_idle(TargetCase { mode: TargetMode::Failing, allowed_failures: 4 })]
-#[case::hangs(TargetCase { mode: TargetMode::Mute, allowed_failures: 0 })]
+#[case::sheds_load(TargetCase { mode: TargetMode::ShedsLoad, allowed_failures: 0 })]
+#[case::fails_but_looks_idle(TargetCase { mode: TargetMode::Fails, allowed_failures: 4 })]
+#[case::hangs(TargetCase { mode: TargetMode::NeverResponds, allowed_failures: 0 })]
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn bad_target_costs_few_calls(#[case] case: TargetCase) {
     // One of two targets sheds load, fails every call while its reports look
@@ -151,11 +151,11 @@
     let daemon = &mesh.daemons[0];
     let target = TargetSpec {
         service: "quoting".to_owned(),
-        daemon_admin: daemon.admin_url.clone(),
+        daemon_admin_url: daemon.admin_url.clone(),
         delay: Duration::ZERO,
     };
     let (_target, fault_proxy) =
-        TargetHandle::start_piped(&target, Arc::clone(&mesh.executions)).await;
+        TargetHandle::start_behind_fault_proxy(&target, Arc::clone(&mesh.executions)).await;
     let known = support::eventually(SETTLE_WITHIN, || async {
         get(&daemon.proxy_url, "north-signs", "/quotes/first")
             .await
@@ -174,7 +174,7 @@
     for call in opened {
         assert_eq!(call.await.expect("a call ends"), 200);
     }
-    fault_proxy.silence_open();
+    fault_proxy.blackhole_open_connections();
     for order in 0..4 {
         let reply = reqwest::Client::new()
             .post(format!("{}/orders", daemon.proxy_url))
@@ -210,7 +210,7 @@
     });
     let http = reqwest::Client::new();
     let mut call = 0;
-    while artwork.declined() < 3 && call < 60 {
+    while artwork.misdirected() < 3 && call < 60 {
         call += 1;
         let announced = http
             .post(format!("{}/announce", daemon.admin_url))
@@ -236,7 +236,7 @@
     }
     let ran_there = |record: &&ExecutionRecord| record.target == artwork.address;
     assert_eq!(mesh.executions.records().iter().find(ran_there), None);
-    assert!(artwork.declined() > 0, "no call was sent there");
+    assert!(artwork.misdirected() > 0, "no call was sent there");
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -265,7 +265,11 @@
         let stopped = tokio::task::block_in_place(|| daemon.terminate(STOPS_WITHIN));
         assert!(stopped, "{} did not stop", daemon.id);
         daemon.start(DAEMON_EXE.as_ref());
-        assert!(daemon.wait_ready().await, "{} did not return", daemon.id);
+        assert!(
+            daemon.wait_until_ready().await,
+            "{} did not return",
+            daemon.id
+        );
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
     stop.store(true, Ordering::SeqCst);
@@ -277,7 +281,7 @@
         } = caller.await.expect("a caller ends");
         let taken: Vec<_> = broken
             .iter()
-            .filter(|(_, id, _)| mesh.executions.has_reached(id))
+            .filter(|(_, id, _)| mesh.executions.has_received(id))
             .collect();
         assert!(taken.is_empty(), "taken and cut: {taken:?}");
         // A caller, who has one connection at a time, can lose one accepted
@@ -334,7 +338,11 @@
             daemon.start(DAEMON_EXE.as_ref());
         }
         for daemon in &mesh.daemons {
-            assert!(daemon.wait_ready().await, "{} did not return", daemon.id);
+            assert!(
+                daemon.wait_until_ready().await,
+                "{} did not return",
+                daemon.id
+            );
         }
         tokio::time::sleep(Duration::from_millis(500)).await;
     }
@@ -343,7 +351,7 @@
         let CallTally { broken, .. } = caller.await.expect("a caller ends");
         let taken: Vec<_> = broken
             .iter()
-            .filter(|(_, id, _)| mesh.executions.has_reached(id))
+            .filter(|(_, id, _)| mesh.executions.has_received(id))
             .collect();
         assert!(taken.is_empty(), "taken and cut: {taken:?}");
     }
@@ -402,7 +410,7 @@
     let relay = leader_of(&mesh, "zone-a").await.expect("a relay");
     let leaving = (relay + 1) % 4;
     mesh.daemons[relay].signal(Signal::SIGKILL);
-    mesh.targets[leaving].leave();
+    mesh.targets[leaving].announce_leaving();
     mesh.daemons[relay].kill();
     tokio::time::sleep(Duration::from_secs(3)).await;
     let before = mesh.targets[leaving].served();
--- a/tests/convergence_faults.rs
+++ b/tests/convergence_faults.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use filbert_standin::fault_proxy::PipeMode;
+use filbert_standin::fault_proxy::FaultMode;
 use filbert_standin::mesh::LocalMesh;
 use filbert_store::InjectedFaults;
 use nix::sys::signal::Signal;
@@ -99,19 +99,19 @@
                 ..InjectedFaults::default()
             },
         ),
-        MeshFault::ZoneCut => mesh.platform_pipes["zone-a"].set_mode(PipeMode::Cut),
+        MeshFault::ZoneCut => mesh.platform_fault_proxies["zone-a"].set_mode(FaultMode::Disconnect),
         MeshFault::PlatformSilent => {
-            for fault_proxy in mesh.platform_pipes.values() {
-                fault_proxy.silence_open();
+            for fault_proxy in mesh.platform_fault_proxies.values() {
+                fault_proxy.blackhole_open_connections();
             }
         }
         MeshFault::LinksSilent => {
             for fault_proxy in mesh
                 .daemons
                 .iter()
-                .filter_map(|daemon| daemon.link_pipe.as_ref())
+                .filter_map(|daemon| daemon.relay_fault_proxy.as_ref())
             {
-                fault_proxy.silence_open();
+                fault_proxy.blackhole_open_connections();
             }
         }
     }
@@ -131,7 +131,7 @@
         MeshFault::PlatformDown | MeshFault::PlatformSlow | MeshFault::RepliesLost => {
             mesh.platform.store.set_faults(InjectedFaults::default());
         }
-        MeshFault::ZoneCut => mesh.platform_pipes["zone-a"].set_mode(PipeMode::Pass),
+        MeshFault::ZoneCut => mesh.platform_fault_proxies["zone-a"].set_mode(FaultMode::Forward),
         MeshFault::HerdKilled | MeshFault::PlatformSilent | MeshFault::LinksSilent => {}
     }
 }
@@ -152,7 +152,7 @@
     // a change meanwhile. Daemons the change can reach get it during the
     // fault, the others keep serving what they have; after the fault it is in
     // force everywhere, and no proxy ever went back, restarts included.
-    let mut mesh = mesh_in_force(spec(&["quoting"]).daemons_per_zone(4).piped()).await;
+    let mut mesh = mesh_in_force(spec(&["quoting"]).daemons_per_zone(4).with_fault_proxies()).await;
     let relay = leader_of(&mesh, "zone-a")
         .await
         .expect("zone-a has a relay");
@@ -204,7 +204,12 @@
     // All 24 daemons of two zones die at once and come back together. Once
     // each has the version again, the platform has served a few reads for
     // each of them and the relays' polls, not a poll of every daemon.
-    let mut mesh = mesh_in_force(spec(&["quoting"]).daemons_per_zone(12).target_hosts(2)).await;
+    let mut mesh = mesh_in_force(
+        spec(&["quoting"])
+            .daemons_per_zone(12)
+            .target_hosts_per_zone(2),
+    )
+    .await;
     let before = mesh.platform.store.stats();
     for daemon in &mut mesh.daemons {
         daemon.signal(Signal::SIGKILL);
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -109,7 +109,7 @@
     let (code, text) = ctl(&mesh, &["accept"]);
     assert_eq!((code, text.trim()), (0, "accepted version 1"));
     assert!(
-        mesh.wait_in_force(1, IN_FORCE_WITHIN).await.is_some(),
+        mesh.wait_until_applied(1, IN_FORCE_WITHIN).await.is_some(),
         "version 1 not in force"
     );
 
@@ -137,7 +137,7 @@
     let (code, text) = ctl(&mesh, &["watch", "--timeout", "10"]);
     assert_eq!(code, 0, "{text}");
     assert!(
-        mesh.wait_in_force(2, IN_FORCE_WITHIN).await.is_some(),
+        mesh.wait_until_applied(2, IN_FORCE_WITHIN).await.is_some(),
         "version 2 not in force"
     );
 
@@ -148,7 +148,7 @@
         (0, "withdrew version 2: version 3 restores version 1")
     );
     assert!(
-        mesh.wait_in_force(3, IN_FORCE_WITHIN).await.is_some(),
+        mesh.wait_until_applied(3, IN_FORCE_WITHIN).await.is_some(),
         "version 3 not in force"
     );
     let (_, shown) = ctl(
@@ -210,7 +210,7 @@
     tokio::time::sleep(Duration::from_millis(1_100)).await;
     for call in 0..10 {
         let mode = if call < 2 {
-            TargetMode::Failing
+            TargetMode::Fails
         } else {
             TargetMode::Normal
         };
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -29,12 +29,12 @@
             .await;
     let artwork = TargetSpec {
         service: "artwork".to_owned(),
-        daemon_admin: mesh.daemons[1].admin_url.clone(),
+        daemon_admin_url: mesh.daemons[1].admin_url.clone(),
         delay: Duration::ZERO,
     };
     let _artwork = TargetHandle::start(&artwork, Arc::clone(&mesh.executions)).await;
     mesh.publish(1, &coop(), None).await;
-    assert!(mesh.wait_in_force(1, IN_FORCE_WITHIN).await.is_some());
+    assert!(mesh.wait_until_applied(1, IN_FORCE_WITHIN).await.is_some());
     let proxy = mesh.daemons[0].proxy_url.clone();
     let reachable = eventually(IN_FORCE_WITHIN, || async {
         get(&proxy, "north-signs", "/artwork/1").await.status() == 200
@@ -71,7 +71,7 @@
     ))
     .await;
     mesh.publish(1, &coop(), None).await;
-    assert!(mesh.wait_in_force(1, IN_FORCE_WITHIN).await.is_some());
+    assert!(mesh.wait_until_applied(1, IN_FORCE_WITHIN).await.is_some());
     let mut bad = coop();
     let stock = BranchPath::parse("site/north-signs/artwork/stock").expect("branch");
     bad.set(&stock, "service", "ghost").expect("edit");
@@ -106,9 +106,9 @@
         LocalMesh::start(MeshSpec::new(Path::new(DAEMON_EXE), &["quoting"]).zones(&["zone-a"]))
             .await;
     mesh.publish(1, &coop(), None).await;
-    assert!(mesh.wait_in_force(1, IN_FORCE_WITHIN).await.is_some());
+    assert!(mesh.wait_until_applied(1, IN_FORCE_WITHIN).await.is_some());
     let leaving = &mesh.targets[0];
-    leaving.leave();
+    leaving.announce_leaving();
     tokio::time::sleep(Duration::from_secs(2)).await;
     for round in 0..20 {
         for daemon in &mesh.daemons {
@@ -145,7 +145,7 @@
         .target_delay(Duration::from_millis(800));
     let mut mesh = LocalMesh::start(spec).await;
     mesh.publish(1, &coop(), None).await;
-    assert!(mesh.wait_in_force(1, IN_FORCE_WITHIN).await.is_some());
+    assert!(mesh.wait_until_applied(1, IN_FORCE_WITHIN).await.is_some());
     let proxy = mesh.daemons[0].proxy_url.clone();
     let call = tokio::spawn(async move { get(&proxy, "north-signs", "/quotes/9").await });
     tokio::time::sleep(Duration::from_millis(200)).await;
--- a/tests/mesh_members.rs
+++ b/tests/mesh_members.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use filbert_platform_standin::{config_text, Host, RouteSpec, StandinStore, StoreFault};
-use filbert_standin::fault_proxy::{FaultPipe, PipeMode};
+use filbert_standin::fault_proxy::{FaultMode, FaultProxy};
 use nix::sys::signal::Signal;
 use rstest::rstest;
 use users::{
@@ -255,7 +255,7 @@
     let mut hosts = Vec::new();
     let mut fault_proxies = Vec::new();
     for (name, zone) in [("one", "a"), ("two", "a"), ("three", "a"), ("far", "b")] {
-        let fault_proxy = FaultPipe::start(store.address).await;
+        let fault_proxy = FaultProxy::start(store.address).await;
         let mut spec = host_spec(&store, name, zone, "quotes");
         spec.store = fault_proxy.address;
         hosts.push(Host::start(spec).await);
@@ -267,7 +267,7 @@
     assert!(eventually(SETTLE_WITHIN, || async { followers(&fleet).len() == 2 }).await);
     for reader in readers(&fleet) {
         if fleet.hosts[reader].spec.zone == "a" {
-            fault_proxies[reader].set_mode(PipeMode::Swallow);
+            fault_proxies[reader].set_mode(FaultMode::Blackhole);
         }
     }
     let followers = followers(&fleet);
--- a/tests/mesh_silence.rs
+++ b/tests/mesh_silence.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use filbert_platform_standin::{Host, RouteSpec, StandinStore};
-use filbert_standin::fault_proxy::{FaultPipe, PipeMode};
+use filbert_standin::fault_proxy::{FaultMode, FaultProxy};
 use users::{eventually, host_spec, publish, Fleet, SETTLE_WITHIN};
 
 /// Time within which an accepted version must be in force on every host.
@@ -37,7 +37,7 @@
     let mut fault_proxies = Vec::new();
     let mut hosts = Vec::new();
     for name in ["one", "two", "three", "four"] {
-        let fault_proxy = FaultPipe::start(store.address).await;
+        let fault_proxy = FaultProxy::start(store.address).await;
         let mut spec = host_spec(&store, name, "a", "quotes");
         spec.store = fault_proxy.address;
         fault_proxies.push(fault_proxy);
@@ -54,7 +54,7 @@
         .collect();
     for (host, fault_proxy) in fleet.hosts.iter().zip(&fault_proxies) {
         if !is_follower(host) {
-            fault_proxy.set_mode(PipeMode::Swallow);
+            fault_proxy.set_mode(FaultMode::Blackhole);
         }
     }
     publish(&fleet.store, 2, &routes("/second/"));
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -126,8 +126,8 @@
             tokio::time::sleep(Duration::from_millis(700)).await;
             mesh.platform.store.set_faults(InjectedFaults::default());
         }
-        OrderFault::AnswersLost => mesh.targets[0].set_mode(TargetMode::Mute),
-        OrderFault::TargetSheds => mesh.targets[0].set_mode(TargetMode::Shed),
+        OrderFault::AnswersLost => mesh.targets[0].set_mode(TargetMode::NeverResponds),
+        OrderFault::TargetSheds => mesh.targets[0].set_mode(TargetMode::ShedsLoad),
         OrderFault::DaemonsKilled => {
             for daemon in &mut mesh.daemons[..2] {
                 daemon.kill();
@@ -213,7 +213,7 @@
     // order is refused.
     let mesh = mesh_in_force(spec(&["quoting"]).zones(&["zone-a"]).daemons_per_zone(1)).await;
     let proxy = mesh.daemons[0].proxy_url.clone();
-    mesh.targets[0].set_mode(TargetMode::Mute);
+    mesh.targets[0].set_mode(TargetMode::NeverResponds);
     assert_eq!(place(&proxy, "lost", "first").await, Told::Unknown);
     assert_eq!(place(&proxy, "lost", "second").await, Told::Unknown);
     let looked_up = support::get(&proxy, "north-signs", "/_filbert/calls/lost").await;
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use filbert_standin::history::{applied_history, backward_moves};
+use filbert_standin::history::{applied_history, version_regressions};
 use filbert_standin::mesh::LocalMesh;
 use filbert_standin::process::DaemonProcess;
 use filbert_standin::spec::MeshSpec;
@@ -34,7 +34,7 @@
 pub async fn mesh_in_force(spec: MeshSpec) -> LocalMesh {
     let mesh = LocalMesh::start(spec).await;
     mesh.publish(1, &coop(), None).await;
-    let settled = mesh.wait_in_force(1, SETTLE_WITHIN).await;
+    let settled = mesh.wait_until_applied(1, SETTLE_WITHIN).await;
     assert!(settled.is_some(), "version 1 not in force");
     mesh
 }
@@ -119,7 +119,7 @@
 pub fn assert_never_backward(mesh: &LocalMesh) {
     let history = applied_history(mesh);
     assert!(!history.is_empty(), "no history recorded");
-    assert_eq!(backward_moves(&history), [], "a proxy moved back");
+    assert_eq!(version_regressions(&history), [], "a proxy moved back");
 }
 
 /// How many targets of `service` a daemon knows in its zone.
