--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -1,6 +1,6 @@
-//! The local demo: a mesh of two zones with two daemons each over stand-in
-//! targets, an example tree applied, real calls sent through, an edit
-//! accepted and watched, then withdrawn.
+//! The local demo: starts a mesh of two zones with two daemons each and
+//! stand-in targets, applies an example tree, sends calls through every daemon,
+//! accepts an edit, watches it roll out and withdraws it.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -12,13 +12,13 @@
 use crate::mesh::LocalMesh;
 use crate::spec::MeshSpec;
 
-/// The Co-op example tree, built into the binary.
+/// The Co-op example tree.
 const COOP_TREE: &str = include_str!("../../../examples/coop.toml");
 
-/// Runs the demo with the `filbertd` binary at `daemon_exe`.
+/// Runs the demo with the `filbertd` binary at `daemon_exe` and prints each step.
 ///
 /// # Errors
-/// A text saying which step failed.
+/// Returns a message that names the failed step, or the error of the step.
 pub async fn run(daemon_exe: &Path) -> Result<(), String> {
     println!(
         "== starting the platform stand-in, 2 zones x 2 daemons, targets for quoting and artwork"
@@ -33,18 +33,18 @@
     std::fs::write(&tree_path, COOP_TREE).map_err(|error| error.to_string())?;
     let tree_arg = tree_path.to_string_lossy().into_owned();
 
-    ctl(&mesh, &["edit", "--file", &tree_arg]).await?;
-    ctl(&mesh, &["diff"]).await?;
+    run_ctl(&mesh, &["edit", "--file", &tree_arg]).await?;
+    run_ctl(&mesh, &["diff"]).await?;
     let accepted = Instant::now();
-    ctl(&mesh, &["accept"]).await?;
-    ctl(&mesh, &["watch", "--timeout", "10"]).await?;
-    report_in_force(&mesh, 1, accepted).await?;
+    run_ctl(&mesh, &["accept"]).await?;
+    run_ctl(&mesh, &["watch", "--timeout", "10"]).await?;
+    print_time_to_apply(&mesh, 1, accepted).await?;
 
     println!("== calls through every daemon");
-    calls(&mesh).await?;
+    send_example_calls(&mesh).await?;
 
     println!("== an edit: north-signs quotes get a 900 ms timeout");
-    ctl(
+    run_ctl(
         &mesh,
         &[
             "set",
@@ -54,19 +54,19 @@
         ],
     )
     .await?;
-    ctl(&mesh, &["diff"]).await?;
+    run_ctl(&mesh, &["diff"]).await?;
     let accepted = Instant::now();
-    ctl(&mesh, &["accept", "--expect", "1"]).await?;
-    ctl(&mesh, &["watch", "--timeout", "10"]).await?;
-    report_in_force(&mesh, 2, accepted).await?;
-    ctl(
+    run_ctl(&mesh, &["accept", "--expect", "1"]).await?;
+    run_ctl(&mesh, &["watch", "--timeout", "10"]).await?;
+    print_time_to_apply(&mesh, 2, accepted).await?;
+    run_ctl(
         &mesh,
         &["show", "site/north-signs/quoting/quotes", "--resolved"],
     )
     .await?;
 
     println!("== a bad edit is refused: a route to an unknown service");
-    if ctl(
+    if run_ctl(
         &mesh,
         &[
             "set",
@@ -83,15 +83,15 @@
 
     println!("== withdrawing version 2");
     let accepted = Instant::now();
-    ctl(&mesh, &["withdraw", "--expect", "2"]).await?;
-    ctl(&mesh, &["watch", "--timeout", "10"]).await?;
-    report_in_force(&mesh, 3, accepted).await?;
-    ctl(
+    run_ctl(&mesh, &["withdraw", "--expect", "2"]).await?;
+    run_ctl(&mesh, &["watch", "--timeout", "10"]).await?;
+    print_time_to_apply(&mesh, 3, accepted).await?;
+    run_ctl(
         &mesh,
         &["show", "site/north-signs/quoting/quotes", "--resolved"],
     )
     .await?;
-    ctl(&mesh, &["status"]).await?;
+    run_ctl(&mesh, &["status"]).await?;
 
     let stats = mesh.platform.store.stats();
     let placements = mesh.executions.records().len();
@@ -103,10 +103,12 @@
     Ok(())
 }
 
-async fn ctl(mesh: &LocalMesh, words: &[&str]) -> Result<(), String> {
-    println!("$ filbertctl {}", words.join(" "));
+/// Runs a filbertctl command in this process against the mesh's platform and
+/// prints the command line, and the error if it fails.
+async fn run_ctl(mesh: &LocalMesh, arguments: &[&str]) -> Result<(), String> {
+    println!("$ filbertctl {}", arguments.join(" "));
     let mut args = vec!["filbertctl", "--platform", &mesh.platform.url];
-    args.extend_from_slice(words);
+    args.extend_from_slice(arguments);
     let cli = Cli::try_parse_from(args).map_err(|error| error.to_string())?;
     cmd::run(cli).await.map_err(|report| {
         let text = for_people(&report);
@@ -115,7 +117,13 @@
     })
 }
 
-async fn report_in_force(mesh: &LocalMesh, number: u64, accepted: Instant) -> Result<(), String> {
+/// Waits until every daemon has applied version `number` and prints the time
+/// since `accepted`.
+async fn print_time_to_apply(
+    mesh: &LocalMesh,
+    number: u64,
+    accepted: Instant,
+) -> Result<(), String> {
     mesh.wait_until_applied(number, Duration::from_secs(10))
         .await
         .ok_or_else(|| format!("version {number} did not come into force"))?;
@@ -126,7 +134,9 @@
     Ok(())
 }
 
-async fn calls(mesh: &LocalMesh) -> Result<(), String> {
+/// Sends one quote request and one order through each daemon and prints the
+/// responses.
+async fn send_example_calls(mesh: &LocalMesh) -> Result<(), String> {
     let http = reqwest::Client::new();
     for (index, daemon) in mesh.daemons.iter().enumerate() {
         let quote = http
--- a/crates/standin/src/fault_proxy.rs
+++ b/crates/standin/src/fault_proxy.rs
@@ -1,5 +1,6 @@
-//! A loopback TCP relay that tests put between two ends of a connection, to
-//! cut it, slow it down, or let it go silent while new ones work.
+//! A loopback TCP proxy that tests put between a client and a server to inject
+//! network faults: closed connections, delays, and connections that stay open
+//! but carry no more bytes while new ones work.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,36 +11,41 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What the pipe does to bytes.
+/// What the proxy does with the bytes of its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum FaultMode {
-    /// Passes them on.
+    /// Forwards them.
     #[default]
     Forward,
-    /// Passes them on after a delay.
+    /// Forwards each read after a delay.
     Delay(Duration),
-    /// Takes them and passes nothing on; connections stay open.
+    /// Reads and discards them in both directions; connections stay open.
     Blackhole,
-    /// Swallows what comes back; what is sent arrives.
+    /// Discards bytes from the server to the client, as `Blackhole` does, and
+    /// forwards bytes from the client to the server.
     BlackholeResponses,
-    /// Closes connections, also new ones.
+    /// Closes open connections, and new ones as soon as they are accepted.
     Disconnect,
 }
 
 #[derive(Debug, Default)]
-struct PipeState {
+struct ProxyState {
     mode: Mutex<FaultMode>,
-    /// Connections opened before this count of them have gone silent for good.
-    silent_before: AtomicU64,
-    opened: AtomicU64,
+    /// Connections with a number below this one are blackholed for good,
+    /// whatever the mode.
+    blackholed_below: AtomicU64,
+    /// Number of connections accepted so far; the next connection's number.
+    accepted: AtomicU64,
 }
 
-impl PipeState {
+impl ProxyState {
+    /// The mode that applies to the connection with this number.
     fn mode(&self, connection: u64) -> FaultMode {
-        if connection < self.silent_before.load(Ordering::SeqCst) {
+        if connection < self.blackholed_below.load(Ordering::SeqCst) {
             return FaultMode::Blackhole;
         }
-        // The mode is one value, so a poisoned lock is still usable.
+        // The mode is a single value that no panic can leave half written, so
+        // a poisoned lock is still usable.
         *self
             .mode
             .lock()
@@ -47,25 +53,26 @@
     }
 }
 
-/// A running pipe.
+/// A running fault proxy. Dropping it stops it from accepting connections;
+/// those already open go on.
 #[derive(Debug)]
 pub struct FaultProxy {
-    /// Where it listens.
+    /// Address that the proxy listens on.
     pub address: SocketAddr,
-    state: Arc<PipeState>,
+    state: Arc<ProxyState>,
     task: tokio::task::JoinHandle<()>,
 }
 
 impl FaultProxy {
-    /// Starts a pipe on a free loopback port that leads to `to`.
+    /// Starts a proxy on a free loopback port that connects to `upstream`.
     ///
     /// # Panics
     /// When the port cannot be bound.
-    pub async fn start(to: SocketAddr) -> FaultProxy {
+    pub async fn start(upstream: SocketAddr) -> FaultProxy {
         let address = SocketAddr::from(([127, 0, 0, 1], crate::ports::free_port()));
         let listener = TcpListener::bind(address).await.expect("a free port binds");
-        let state = Arc::new(PipeState::default());
-        let task = tokio::spawn(accept_loop(listener, to, Arc::clone(&state)));
+        let state = Arc::new(ProxyState::default());
+        let task = tokio::spawn(accept_loop(listener, upstream, Arc::clone(&state)));
         FaultProxy {
             address,
             state,
@@ -73,7 +80,8 @@
         }
     }
 
-    /// Sets what happens to the bytes of every connection that is not silent.
+    /// Sets the mode of all connections, open and new, except those that
+    /// [`FaultProxy::blackhole_open_connections`] has blackholed.
     pub fn set_mode(&self, mode: FaultMode) {
         *self
             .state
@@ -82,10 +90,13 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner) = mode;
     }
 
-    /// Lets every connection open now go silent for good; new ones work.
+    /// Blackholes every connection accepted so far, for good; connections
+    /// accepted later follow the mode.
     pub fn blackhole_open_connections(&self) {
-        let opened = self.state.opened.load(Ordering::SeqCst);
-        self.state.silent_before.store(opened, Ordering::SeqCst);
+        let accepted = self.state.accepted.load(Ordering::SeqCst);
+        self.state
+            .blackholed_below
+            .store(accepted, Ordering::SeqCst);
     }
 }
 
@@ -95,43 +106,47 @@
     }
 }
 
-async fn accept_loop(listener: TcpListener, to: SocketAddr, state: Arc<PipeState>) {
-    while let Ok((near, _)) = listener.accept().await {
-        let connection = state.opened.fetch_add(1, Ordering::SeqCst);
+async fn accept_loop(listener: TcpListener, upstream: SocketAddr, state: Arc<ProxyState>) {
+    while let Ok((client, _)) = listener.accept().await {
+        let connection = state.accepted.fetch_add(1, Ordering::SeqCst);
         let state = Arc::clone(&state);
         tokio::spawn(async move {
             if state.mode(connection) == FaultMode::Disconnect {
                 return;
             }
-            let Ok(far) = TcpStream::connect(to).await else {
+            let Ok(server) = TcpStream::connect(upstream).await else {
                 return;
             };
-            let _ = near.set_nodelay(true);
-            let _ = far.set_nodelay(true);
-            let (near_read, near_write) = near.into_split();
-            let (far_read, far_write) = far.into_split();
+            let _ = client.set_nodelay(true);
+            let _ = server.set_nodelay(true);
+            let (client_read, client_write) = client.into_split();
+            let (server_read, server_write) = server.into_split();
             tokio::select! {
-                () = pump(near_read, far_write, &state, connection, false) => {}
-                () = pump(far_read, near_write, &state, connection, true) => {}
-                () = watch_cut(&state, connection) => {}
+                () = copy_with_faults(client_read, server_write, &state, connection, false) => {}
+                () = copy_with_faults(server_read, client_write, &state, connection, true) => {}
+                () = wait_for_disconnect(&state, connection) => {}
             }
         });
     }
 }
 
-/// Ends once the connection is cut.
-async fn watch_cut(state: &PipeState, connection: u64) {
+/// Waits until the connection's mode is [`FaultMode::Disconnect`], checking
+/// every 10 ms.
+async fn wait_for_disconnect(state: &ProxyState, connection: u64) {
     while state.mode(connection) != FaultMode::Disconnect {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-async fn pump(
+/// Copies bytes from `from` to `to` in the connection's mode until either end
+/// fails or the mode closes the connection. `is_response` tells the direction:
+/// from the server to the client.
+async fn copy_with_faults(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    state: &PipeState,
+    state: &ProxyState,
     connection: u64,
-    is_back: bool,
+    is_response: bool,
 ) {
     let mut buffer = vec![0; 16 * 1024];
     loop {
@@ -139,14 +154,14 @@
             return;
         };
         let mode = match state.mode(connection) {
-            FaultMode::BlackholeResponses if is_back => FaultMode::Blackhole,
+            FaultMode::BlackholeResponses if is_response => FaultMode::Blackhole,
             FaultMode::BlackholeResponses => FaultMode::Forward,
             mode => mode,
         };
         match mode {
             FaultMode::Disconnect => return,
-            // A silent connection tells neither end anything, not even that
-            // the other one closed.
+            // A blackholed connection doesn't tell either end that the other
+            // one has closed.
             FaultMode::Blackhole if length == 0 => std::future::pending().await,
             FaultMode::Blackhole => continue,
             FaultMode::Delay(delay) => tokio::time::sleep(delay).await,
@@ -154,7 +169,8 @@
         }
         if length == 0 {
             let _ = to.shutdown().await;
-            // The other direction may still have an answer to bring.
+            // This direction is closed, but the other one may still carry a
+            // response. Returning here would close both.
             std::future::pending::<()>().await;
         }
         if to.write_all(&buffer[..length]).await.is_err() {
--- a/crates/standin/src/history.rs
+++ b/crates/standin/src/history.rs
@@ -1,24 +1,25 @@
-//! The history of applied versions, as recorded by the daemons' own logs:
-//! what history checks and convergence figures are made from.
+//! History of the versions that each daemon applied, read from the daemons'
+//! logs. Tests check its order; benchmarks compute convergence times from it.
 
 use chrono::DateTime;
 
 use crate::mesh::LocalMesh;
 
-/// One version put in force on one daemon.
+/// One version that one daemon applied: an `event=applied` line of its log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AppliedVersion {
-    /// The daemon.
+    /// Id of the daemon.
     pub daemon: String,
-    /// Its wall clock, in milliseconds since the Unix epoch.
+    /// Time on the daemon's wall clock, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// The version in force before.
+    /// The version that the daemon had before.
     pub from: u64,
-    /// The version put in force.
+    /// The version that the daemon applied.
     pub to: u64,
 }
 
-/// Every application of a version so far, daemon by daemon, each in order.
+/// Returns the versions applied so far, grouped by daemon, each daemon's in the
+/// order of its log. A daemon whose log can't be read has none.
 #[must_use]
 pub fn applied_history(mesh: &LocalMesh) -> Vec<AppliedVersion> {
     let mut history = Vec::new();
@@ -29,23 +30,27 @@
     history
 }
 
-/// Daemons whose history moves to a version not above all earlier ones, with
-/// the two versions. Restarts of a daemon append to the same history: what a
-/// new process applies first counts against what the old one had in force.
+/// Returns every entry of `history` in which a daemon went to a lower version
+/// than one it had applied before, or to one not above its previous version:
+/// the daemon's id, the highest version applied before, and the version applied.
+///
+/// The history of a daemon goes on across restarts: the first version that the
+/// new process applies is compared with those of the old process.
 #[must_use]
 pub fn version_regressions(history: &[AppliedVersion]) -> Vec<(String, u64, u64)> {
     let mut highest: std::collections::BTreeMap<&str, u64> = std::collections::BTreeMap::new();
-    let mut moves = Vec::new();
+    let mut regressions = Vec::new();
     for record in history {
-        let known = highest.entry(&record.daemon).or_default();
-        if record.to < *known || record.to <= record.from {
-            moves.push((record.daemon.clone(), *known, record.to));
+        let highest_applied = highest.entry(&record.daemon).or_default();
+        if record.to < *highest_applied || record.to <= record.from {
+            regressions.push((record.daemon.clone(), *highest_applied, record.to));
         }
-        *known = record.to.max(*known);
+        *highest_applied = record.to.max(*highest_applied);
     }
-    moves
+    regressions
 }
 
+/// Parses a log line; `None` if the line reports no applied version.
 fn parse_line(daemon: &str, line: &str) -> Option<AppliedVersion> {
     if field(line, "event")? != "applied" {
         return None;
@@ -59,7 +64,7 @@
     })
 }
 
-/// The value of `key` in a `key=value` line.
+/// Returns the value of `key` in a line of `key=value` pairs.
 fn field<'a>(line: &'a str, key: &str) -> Option<&'a str> {
     line.split(' ')
         .find_map(|pair| pair.strip_prefix(key)?.strip_prefix('='))
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,6 +1,7 @@
-//! Stand-ins for what surrounds filbertladder in tests and the local demo:
-//! the platform's table service and object store, and the users' back ends
-//! (targets). None of this ships; it is what the tests and the demo run against.
+//! Stand-ins for the services that filbertladder depends on, for tests,
+//! benchmarks and the local demo: the platform's table service and object store,
+//! and the users' back ends (targets). Also starts local meshes of real daemons
+//! and proxies that inject network faults. Nothing in this crate is shipped.
 
 pub mod demo;
 pub mod fault_proxy;
@@ -15,9 +16,10 @@
 pub mod trees;
 pub mod usage;
 
-/// Keeps rocket's request lines out of a process that hosts stand-ins: a
-/// logger that passes only errors is set first, so rocket does not set its
-/// own. Call once, before starting any stand-in; later calls do nothing.
+/// Installs a global logger that prints errors only and nothing from rocket.
+///
+/// Call this before starting a stand-in: otherwise rocket installs its own
+/// logger, which prints a line for every request. Later calls do nothing.
 pub fn init_error_logger() {
     let _ = flexi_logger::Logger::try_with_str("error,rocket=off,_=off")
         .map(flexi_logger::Logger::start);
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,5 @@
-//! filbert-standin: runs the stand-ins as processes, or the local demo.
+//! `filbert-standin`: runs the platform stand-in as a process of its own, or
+//! the local demo.
 
 use std::process::ExitCode;
 
--- a/crates/standin/src/mesh.rs
+++ b/crates/standin/src/mesh.rs
@@ -1,5 +1,5 @@
-//! A local mesh for tests, benchmarks and the demo: the platform stand-in and
-//! the targets in this process, each daemon a process of its own.
+//! A local mesh for tests, benchmarks and the demo. The platform stand-in and
+//! the targets run in this process, each daemon in a process of its own.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -19,30 +19,32 @@
 use crate::spec::MeshSpec;
 use crate::target::{ExecutionLog, TargetHandle, TargetSpec};
 
-/// A running local mesh. Dropping it kills the daemons.
+/// A running local mesh. Dropping it kills the daemons and deletes [`LocalMesh::dir`].
 pub struct LocalMesh {
     /// The platform stand-in.
     pub platform: PlatformHandle,
-    /// The pipes to the platform by zone, in a piped mesh.
+    /// Fault proxies between the daemons of a zone and the platform, by zone;
+    /// empty without [`MeshSpec::with_fault_proxies()`].
     pub platform_fault_proxies: BTreeMap<String, FaultProxy>,
-    /// The daemons, zone by zone.
+    /// The daemons, in the order of the zones in the spec.
     pub daemons: Vec<DaemonProcess>,
-    /// The targets.
+    /// The stand-in targets, in the order of their daemons.
     pub targets: Vec<TargetHandle>,
-    /// Every execution on every target.
+    /// Calls that the targets received and executed.
     pub executions: Arc<ExecutionLog>,
-    /// Where settings files and daemon logs are.
+    /// Temporary directory with the daemons' settings files and logs.
     pub dir: PathBuf,
-    /// The shape it was started with.
+    /// The spec that the mesh was started with.
     pub spec: MeshSpec,
 }
 
 impl LocalMesh {
-    /// Starts the platform, the daemons and their targets, and waits until
-    /// every daemon answers.
+    /// Starts the platform, the daemons and their targets. Returns once every
+    /// daemon's admin endpoint responds; the targets may not be known to all
+    /// daemons by then.
     ///
     /// # Panics
-    /// When any part cannot start.
+    /// When a server or a daemon does not start.
     pub async fn start(spec: MeshSpec) -> LocalMesh {
         let platform = PlatformHandle::start().await;
         let dir = std::env::temp_dir().join(format!(
@@ -62,8 +64,8 @@
             }
             for index in 0..spec.daemons_per_zone {
                 let id = format!("{zone}-d{index}");
-                let plan = DaemonSpec::new(&spec, &id, zone, &platform_url).await;
-                daemons.push(DaemonProcess::spawn(&spec.daemon_exe, &dir, plan));
+                let daemon_spec = DaemonSpec::new(&spec, &id, zone, &platform_url).await;
+                daemons.push(DaemonProcess::spawn(&spec.daemon_exe, &dir, daemon_spec));
             }
         }
         for daemon in &daemons {
@@ -76,9 +78,9 @@
         }
         let executions = Arc::new(ExecutionLog::default());
         let mut targets = Vec::new();
-        let per_zone = spec.daemons_per_zone.max(1);
+        let daemons_per_zone = spec.daemons_per_zone.max(1);
         for (index, daemon) in daemons.iter().enumerate() {
-            if index % per_zone >= spec.target_hosts_per_zone {
+            if index % daemons_per_zone >= spec.target_hosts_per_zone {
                 continue;
             }
             for service in &spec.services {
@@ -101,19 +103,20 @@
         }
     }
 
-    /// A client of the platform stand-in.
+    /// Returns a client of the platform stand-in, with a timeout of 2 seconds.
     #[must_use]
     pub fn platform_client(&self) -> PlatformClient {
         PlatformClient::new(&self.platform.url, Duration::from_secs(2))
     }
 
-    /// Publishes `tree` as version `number` straight into the platform, with
-    /// the steps from `base` (version `number - 1`) when given; without
-    /// filbertctl's checks, as a faulty or older operator tool might. Returns
-    /// the wall time just before it became the version in force.
+    /// Writes `tree` to the platform as version `number` and makes it the current
+    /// version, without filbertctl's checks, as a faulty or older operator tool
+    /// might. If `base`, the tree of version `number - 1`, is given, the delta
+    /// from it is written too. Returns the wall-clock time just before the first
+    /// attempt to write the current row.
     ///
     /// # Panics
-    /// When the platform stand-in does not take it.
+    /// When a write still fails after `PUBLISH_ATTEMPTS` attempts.
     pub async fn publish(
         &self,
         number: u64,
@@ -129,12 +132,12 @@
             tree: tree.clone(),
         };
         let object = StoreKey::version_object(number, 0);
-        store_object(&platform, &object, VersionCodec::encode(&record)).await;
+        put_object_with_retries(&platform, &object, VersionCodec::encode(&record)).await;
         let mut delta = None;
         if let Some(base) = base {
             let object = StoreKey::delta_object(number, 0);
-            let steps = VersionCodec::encode_delta(&TreeDelta::between(base, tree));
-            store_object(&platform, &object, steps).await;
+            let encoded_delta = VersionCodec::encode_delta(&TreeDelta::between(base, tree));
+            put_object_with_retries(&platform, &object, encoded_delta).await;
             delta = Some(DeltaPointer {
                 base: number - 1,
                 object,
@@ -156,7 +159,8 @@
         panic!("the current row is not written");
     }
 
-    /// The live daemons' statuses, as operators see them.
+    /// Returns the statuses of the live daemons as filbertctl reads them from the
+    /// platform; empty if the read fails.
     pub async fn statuses(&self) -> Vec<DaemonStatus> {
         fleet::read(&self.platform_client())
             .await
@@ -164,25 +168,25 @@
             .unwrap_or_default()
     }
 
-    /// Waits until every daemon's admin status shows `number` in force and
-    /// `services` each with at least one serving target; returns the time it
-    /// took, or `None` after `within`.
+    /// Waits until the admin status of every daemon shows version `number` or a
+    /// later one as applied and at least one target of each service in the spec.
+    /// Returns the time this took, or `None` if it takes longer than `within`.
     pub async fn wait_until_applied(&self, number: u64, within: Duration) -> Option<Duration> {
         let started = Instant::now();
         let http = reqwest::Client::new();
         while started.elapsed() < within {
-            let mut all = true;
+            let mut all_ready = true;
             for daemon in &self.daemons {
-                let applied = http
+                let response = http
                     .get(format!("{}/status", daemon.admin_url))
                     .send()
                     .await
                     .ok();
-                let applied = match applied {
-                    Some(reply) => reply.json::<serde_json::Value>().await.ok(),
+                let status = match response {
+                    Some(response) => response.json::<serde_json::Value>().await.ok(),
                     None => None,
                 };
-                let ready = applied.is_some_and(|status| {
+                let ready = status.is_some_and(|status| {
                     let targets_ready = self
                         .spec
                         .services
@@ -191,11 +195,11 @@
                     status["applied"].as_u64().unwrap_or(0) >= number && targets_ready
                 });
                 if !ready {
-                    all = false;
+                    all_ready = false;
                     break;
                 }
             }
-            if all {
+            if all_ready {
                 return Some(started.elapsed());
             }
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -204,10 +208,15 @@
     }
 }
 
-/// Writes made again when their reply is lost; the same write is idempotent.
+/// Attempts for each write to the platform. A write whose response was lost is
+/// repeated, which is safe because the writes are idempotent.
 const PUBLISH_ATTEMPTS: u32 = 20;
 
-async fn store_object(platform: &PlatformClient, key: &str, bytes: Vec<u8>) {
+/// Writes an object to the platform's object store.
+///
+/// # Panics
+/// When the write still fails after `PUBLISH_ATTEMPTS` attempts.
+async fn put_object_with_retries(platform: &PlatformClient, key: &str, bytes: Vec<u8>) {
     for _ in 0..PUBLISH_ATTEMPTS {
         if platform.put_object(key, bytes.clone()).await.is_ok() {
             return;
--- a/crates/standin/src/process.rs
+++ b/crates/standin/src/process.rs
@@ -1,4 +1,4 @@
-//! One `filbertd` process on loopback ports: started, signalled, restarted.
+//! Starts, signals, stops and restarts a `filbertd` process on loopback ports.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,20 +15,22 @@
 use crate::ports::free_port;
 use crate::spec::MeshSpec;
 
-/// What a `filbertd` process is started with.
+/// Settings of one `filbertd` process and the fault proxy in front of it.
 pub struct DaemonSpec {
-    /// Its settings.
+    /// Settings that are written to the process's settings file.
     pub settings: DaemonSettings,
-    /// The pipe in front of its relay port, in a piped mesh.
+    /// Fault proxy in front of the daemon's relay port; `None` without
+    /// [`MeshSpec::with_fault_proxies()`].
     pub relay_fault_proxy: Option<FaultProxy>,
 }
 
 impl DaemonSpec {
-    /// Plans daemon `id` of `zone` for the mesh `spec`, on free ports, with
-    /// the platform at `platform_url`.
+    /// Creates the settings of daemon `id` in `zone`: free ports, the platform at
+    /// `platform_url`, the rest from the mesh's `spec`. Starts the fault proxy if
+    /// the spec asks for one.
     pub async fn new(spec: &MeshSpec, id: &str, zone: &str, platform_url: &str) -> DaemonSpec {
-        let loopback = || SocketAddr::from(([127, 0, 0, 1], free_port()));
-        let relay_listen = loopback();
+        let free_loopback_address = || SocketAddr::from(([127, 0, 0, 1], free_port()));
+        let relay_listen = free_loopback_address();
         let relay_fault_proxy = if spec.with_fault_proxies {
             Some(FaultProxy::start(relay_listen).await)
         } else {
@@ -37,8 +39,8 @@
         let settings = DaemonSettings {
             id: id.to_owned(),
             zone: zone.to_owned(),
-            proxy_listen: loopback(),
-            admin_listen: loopback(),
+            proxy_listen: free_loopback_address(),
+            admin_listen: free_loopback_address(),
             relay_listen,
             relay_advertise: relay_fault_proxy
                 .as_ref()
@@ -64,42 +66,44 @@
     }
 }
 
-/// One `filbertd` process.
+/// One `filbertd` process. Dropping it kills the process.
 pub struct DaemonProcess {
-    /// Its id.
+    /// Id of the daemon.
     pub id: String,
-    /// Its zone.
+    /// Zone of the daemon.
     pub zone: String,
-    /// Where callers reach its proxy, `http://127.0.0.1:PORT`.
+    /// Base URL for calls through the daemon, `http://127.0.0.1:PORT`.
     pub proxy_url: String,
-    /// Its admin URL.
+    /// Base URL of the daemon's admin endpoint.
     pub admin_url: String,
-    /// The pipe in front of its relay port, in a piped mesh.
+    /// Fault proxy in front of the daemon's relay port; `None` without
+    /// [`MeshSpec::with_fault_proxies()`].
     pub relay_fault_proxy: Option<FaultProxy>,
-    /// Its settings file.
+    /// Path of the daemon's settings file.
     pub config_path: PathBuf,
-    /// Its log file.
+    /// Path of the daemon's log file.
     pub log_path: PathBuf,
     child: Option<Child>,
 }
 
 impl DaemonProcess {
-    /// Starts `filbertd` with a settings file written into `dir`.
+    /// Writes a settings file to `dir` and starts the binary `exe` with it. The
+    /// process's output goes to a log file in `dir`.
     ///
     /// # Panics
-    /// When the file cannot be written or the process cannot start.
+    /// When a file can't be written or the process can't start.
     #[must_use]
-    pub fn spawn(exe: &Path, dir: &Path, plan: DaemonSpec) -> DaemonProcess {
-        let config_path = dir.join(format!("{}.toml", plan.settings.id));
-        let log_path = dir.join(format!("{}.log", plan.settings.id));
-        let text = toml::to_string(&plan.settings).expect("daemon settings are TOML");
+    pub fn spawn(exe: &Path, dir: &Path, spec: DaemonSpec) -> DaemonProcess {
+        let config_path = dir.join(format!("{}.toml", spec.settings.id));
+        let log_path = dir.join(format!("{}.log", spec.settings.id));
+        let text = toml::to_string(&spec.settings).expect("daemon settings are TOML");
         std::fs::write(&config_path, text).expect("the mesh directory is writable");
         let mut process = DaemonProcess {
-            proxy_url: format!("http://{}", plan.settings.proxy_listen),
-            admin_url: format!("http://{}", plan.settings.admin_listen),
-            id: plan.settings.id,
-            zone: plan.settings.zone,
-            relay_fault_proxy: plan.relay_fault_proxy,
+            proxy_url: format!("http://{}", spec.settings.proxy_listen),
+            admin_url: format!("http://{}", spec.settings.admin_listen),
+            id: spec.settings.id,
+            zone: spec.settings.zone,
+            relay_fault_proxy: spec.relay_fault_proxy,
             config_path,
             log_path,
             child: None,
@@ -108,10 +112,11 @@
         process
     }
 
-    /// Starts the process again with the same settings, after a stop or kill.
+    /// Starts the process with the existing settings file, after it was stopped
+    /// or killed. Its output is appended to the log file.
     ///
     /// # Panics
-    /// When the process cannot start.
+    /// When the log file can't be opened or the process can't start.
     pub fn start(&mut self, exe: &Path) {
         let log = std::fs::OpenOptions::new()
             .create(true)
@@ -129,7 +134,8 @@
         self.child = Some(child);
     }
 
-    /// The process id, while running.
+    /// Returns the process id; `None` once [`DaemonProcess::terminate`] or
+    /// [`DaemonProcess::kill`] has seen the process exit.
     #[must_use]
     pub fn pid(&self) -> Option<Pid> {
         self.child
@@ -138,29 +144,31 @@
             .map(Pid::from_raw)
     }
 
-    /// Sends a signal to the process, if running.
+    /// Sends a signal to the process, if it has a process id.
     pub fn signal(&self, signal: Signal) {
         if let Some(pid) = self.pid() {
             let _ = kill(pid, signal);
         }
     }
 
-    /// A planned stop: SIGTERM, then waits for the exit (at most `within`).
-    /// Returns whether it exited in time.
+    /// Stops the process gracefully: sends SIGTERM and waits for the exit, for at
+    /// most `within`. Returns whether the process exited in time.
     pub fn terminate(&mut self, within: Duration) -> bool {
         self.signal(Signal::SIGTERM);
-        self.wait_exit(within)
+        self.wait_for_exit(within)
     }
 
-    /// Kills the process at once.
+    /// Kills the process with SIGKILL and waits at most five seconds for the exit.
     pub fn kill(&mut self) {
         if let Some(child) = self.child.as_mut() {
             let _ = child.kill();
         }
-        self.wait_exit(Duration::from_secs(5));
+        self.wait_for_exit(Duration::from_secs(5));
     }
 
-    fn wait_exit(&mut self, within: Duration) -> bool {
+    /// Waits for the process's exit, for at most `within`, and returns whether it
+    /// has exited. Blocks the thread.
+    fn wait_for_exit(&mut self, within: Duration) -> bool {
         let Some(child) = self.child.as_mut() else {
             return true;
         };
@@ -175,14 +183,14 @@
         false
     }
 
-    /// Waits until the admin endpoint answers, for at most ten seconds.
-    /// Returns whether it did.
+    /// Waits until the admin endpoint responds with success. Makes 1,000 attempts
+    /// 10 ms apart (at least ten seconds) and returns whether one succeeded.
     pub async fn wait_until_ready(&self) -> bool {
         let http = reqwest::Client::new();
         let url = format!("{}/status", self.admin_url);
         for _ in 0..1000 {
-            if let Ok(reply) = http.get(&url).send().await {
-                if reply.status().is_success() {
+            if let Ok(response) = http.get(&url).send().await {
+                if response.status().is_success() {
                     return true;
                 }
             }
@@ -193,20 +201,20 @@
 }
 
 impl DaemonProcess {
-    /// Its counters, by name.
+    /// Reads all of the daemon's counters, by name.
     ///
     /// # Panics
-    /// When the daemon does not answer.
+    /// When the daemon doesn't respond with counters.
     pub async fn counters(&self) -> BTreeMap<String, u64> {
-        let reply = reqwest::get(format!("{}/metrics", self.admin_url)).await;
-        let reply = reply.expect("the daemon answers");
-        reply.json().await.expect("counters are JSON")
+        let response = reqwest::get(format!("{}/metrics", self.admin_url)).await;
+        let response = response.expect("the daemon answers");
+        response.json().await.expect("counters are JSON")
     }
 
-    /// One of its counters; 0 until it first counts.
+    /// Reads one of the daemon's counters; 0 if the daemon doesn't report it yet.
     ///
     /// # Panics
-    /// When the daemon does not answer.
+    /// When the daemon doesn't respond with counters.
     pub async fn counter(&self, name: &str) -> u64 {
         self.counters().await.get(name).copied().unwrap_or(0)
     }
--- a/crates/standin/src/serving.rs
+++ b/crates/standin/src/serving.rs
@@ -1,9 +1,10 @@
-//! What servers of this process have in common.
+//! Shared parts of the stand-in servers that run in this process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A rocket configuration on loopback that prints nothing.
+/// Returns a rocket configuration that listens on the loopback `port` and
+/// prints nothing.
 #[must_use]
 pub fn silent_rocket_config(port: u16) -> rocket::Config {
     rocket::Config {
@@ -15,8 +16,8 @@
     }
 }
 
-/// Waits until something accepts connections on the loopback `port`, for at
-/// most five seconds.
+/// Waits until the loopback `port` accepts connections. Makes 500 attempts 10 ms
+/// apart (about five seconds), then returns without an error.
 pub async fn wait_until_listening(port: u16) {
     let address = SocketAddr::from(([127, 0, 0, 1], port));
     for _ in 0..500 {
--- a/crates/standin/src/spec.rs
+++ b/crates/standin/src/spec.rs
@@ -1,36 +1,39 @@
-//! What a local mesh is made of.
+//! Size and settings of a local mesh.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 use filbert_daemon::settings::DistributionMode;
 
-/// The shape of a local mesh.
+/// Size and settings of a local mesh.
 #[derive(Clone, Debug)]
 pub struct MeshSpec {
     /// Path of the `filbertd` binary.
     pub daemon_exe: PathBuf,
-    /// Zone names.
+    /// Names of the availability zones.
     pub zones: Vec<String>,
-    /// Daemons in each zone.
+    /// Number of daemons in each zone.
     pub daemons_per_zone: usize,
-    /// Services of the targets beside each daemon, one target per service.
+    /// Services of the stand-in targets: each host with targets has one target
+    /// for each service.
     pub services: Vec<String>,
-    /// Time each target takes to answer.
+    /// Time from a target's receipt of a call to its response.
     pub target_delay: Duration,
-    /// How versions and targets reach the daemons.
+    /// How settings versions and target lists are distributed to the daemons.
     pub mode: DistributionMode,
-    /// Hosts of each zone that have targets; the others have a daemon only.
+    /// Number of hosts in each zone that have targets; the other hosts have a
+    /// daemon only.
     pub target_hosts_per_zone: usize,
-    /// How often a daemon that reads the platform does so.
+    /// Time between two polls of the platform by a daemon that polls it.
     pub poll_interval: Duration,
-    /// Whether pipes stand in front of the platform, zone by zone, and of
-    /// every relay port, for tests to cut.
+    /// Whether to put fault proxies in front of the platform, one for each zone,
+    /// and in front of each daemon's relay port.
     pub with_fault_proxies: bool,
 }
 
 impl MeshSpec {
-    /// Two zones of two daemons, each beside one target of each service.
+    /// Returns a spec of two zones with two daemons each. Every host has one
+    /// target of each of the `services`.
     #[must_use]
     pub fn new(daemon_exe: &Path, services: &[&str]) -> MeshSpec {
         MeshSpec {
@@ -49,49 +52,49 @@
         }
     }
 
-    /// Sets the zones.
+    /// Sets the names of the zones.
     #[must_use]
     pub fn zones(mut self, zones: &[&str]) -> MeshSpec {
         self.zones = zones.iter().map(|zone| (*zone).to_owned()).collect();
         self
     }
 
-    /// Sets the daemons per zone.
+    /// Sets the number of daemons in each zone.
     #[must_use]
     pub fn daemons_per_zone(mut self, count: usize) -> MeshSpec {
         self.daemons_per_zone = count;
         self
     }
 
-    /// Sets how versions and targets reach the daemons.
+    /// Sets how settings versions and target lists are distributed.
     #[must_use]
     pub fn mode(mut self, mode: DistributionMode) -> MeshSpec {
         self.mode = mode;
         self
     }
 
-    /// Sets how many hosts of each zone have targets.
+    /// Sets the number of hosts in each zone that have targets.
     #[must_use]
     pub fn target_hosts_per_zone(mut self, count: usize) -> MeshSpec {
         self.target_hosts_per_zone = count;
         self
     }
 
-    /// Sets how often a daemon that reads the platform does so.
+    /// Sets the time between two polls of the platform by a daemon.
     #[must_use]
     pub fn poll_interval(mut self, poll_interval: Duration) -> MeshSpec {
         self.poll_interval = poll_interval;
         self
     }
 
-    /// Puts pipes in front of the platform and of every relay port.
+    /// Puts fault proxies in front of the platform and of every relay port.
     #[must_use]
     pub fn with_fault_proxies(mut self) -> MeshSpec {
         self.with_fault_proxies = true;
         self
     }
 
-    /// Sets each target's answer time.
+    /// Sets the time that each target takes to respond.
     #[must_use]
     pub fn target_delay(mut self, delay: Duration) -> MeshSpec {
         self.target_delay = delay;
--- a/crates/standin/src/trees.rs
+++ b/crates/standin/src/trees.rs
@@ -1,30 +1,31 @@
-//! Settings trees of any size, for benchmarks and generated tests.
+//! Generated settings trees of a given size, for benchmarks and tests.
 
 use filbert_tree::{BranchPath, SettingsTree};
 
-/// The shape of a generated tree.
+/// The dimensions of a generated tree.
 #[derive(Clone, Copy, Debug)]
 pub struct TreeShape {
-    /// Members of the site.
+    /// Number of members of the site.
     pub members: usize,
-    /// Services of each member.
+    /// Number of services of each member.
     pub services: usize,
-    /// Routes of each service.
+    /// Number of routes of each service.
     pub routes: usize,
 }
 
 impl TreeShape {
-    /// Routes in the whole tree.
+    /// Returns the number of routes in the whole tree.
     #[must_use]
     pub fn route_count(self) -> usize {
         self.members * self.services * self.routes
     }
 
-    /// Builds the tree: members `m0..`, services `s0..`, routes `r0..` with
-    /// paths `/sN/rN`.
+    /// Builds the tree. Members are named `m0`, `m1` and so on, services `s0`
+    /// and on, routes `r0` and on; route `rR` of service `sS` has the path
+    /// `/sS/rR`.
     ///
     /// # Panics
-    /// Never: every edit it makes is valid.
+    /// Never: every setting that it writes is valid.
     #[must_use]
     pub fn build(self) -> SettingsTree {
         let mut tree = SettingsTree::default();
@@ -48,8 +49,9 @@
     }
 }
 
-/// `tree`, as [`TreeShape::build`] makes it, with one key of one route set to
-/// a value of this change's own: the small edit that benchmarks accept.
+/// Returns a copy of `tree` in which `timeout_ms` of the route `site/m0/s1/r2`
+/// is 1,000 plus `change`: a minimal edit that differs for each `change`, for
+/// benchmarks to publish. `tree` comes from [`TreeShape::build`].
 ///
 /// # Panics
 /// When the tree has no route `site/m0/s1/r2`.
--- a/crates/standin/src/usage.rs
+++ b/crates/standin/src/usage.rs
@@ -1,30 +1,32 @@
-//! Processor time and memory of a process, from Linux's `/proc`.
+//! CPU time and resident memory of a process, read from Linux's `/proc`.
 
 use std::time::Duration;
 
 use nix::unistd::{sysconf, Pid, SysconfVar};
 
-/// What a process has used so far.
+/// CPU time and memory that a process uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessUsage {
-    /// Processor time, user and system together, in steps of a clock tick
-    /// (10 ms as a rule).
+    /// CPU time since the process started, user and system together. Its
+    /// resolution is a clock tick, usually 10 ms.
     pub cpu_time: Duration,
-    /// Resident memory, in KiB.
+    /// Current resident set size, in KiB.
     pub resident_kib: u64,
 }
 
 impl ProcessUsage {
-    /// Reads the usage of process `pid`; `None` when it is gone.
+    /// Reads the usage of process `pid`; `None` if the process has ended or its
+    /// `/proc` files can't be parsed.
     #[must_use]
     pub fn read(pid: Pid) -> Option<ProcessUsage> {
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
-        // Fields are counted from behind the command name, which may hold spaces.
+        // The command name may contain spaces, so fields are counted from the end
+        // of it: 11 is utime and 12 is stime, in clock ticks.
         let fields: Vec<&str> = stat.rsplit_once(") ")?.1.split(' ').collect();
-        let user: u64 = fields.get(11)?.parse().ok()?;
-        let system: u64 = fields.get(12)?.parse().ok()?;
-        let per_second = sysconf(SysconfVar::CLK_TCK).ok()??;
-        let ticks_ms = 1_000 / u64::try_from(per_second).ok()?.max(1);
+        let user_ticks: u64 = fields.get(11)?.parse().ok()?;
+        let system_ticks: u64 = fields.get(12)?.parse().ok()?;
+        let ticks_per_second = sysconf(SysconfVar::CLK_TCK).ok()??;
+        let tick_ms = 1_000 / u64::try_from(ticks_per_second).ok()?.max(1);
         let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
         let resident_kib = status
             .lines()
@@ -34,7 +36,7 @@
             .parse()
             .ok()?;
         Some(ProcessUsage {
-            cpu_time: Duration::from_millis((user + system) * ticks_ms),
+            cpu_time: Duration::from_millis((user_ticks + system_ticks) * tick_ms),
             resident_kib,
         })
     }
