--- a/crates/standin/src/fault_proxy.rs
+++ b/crates/standin/src/fault_proxy.rs
@@ -70,7 +70,9 @@
     /// When the port cannot be bound.
     pub async fn start(upstream: SocketAddr) -> FaultProxy {
         let address = SocketAddr::from(([127, 0, 0, 1], crate::ports::free_port()));
-        let listener = TcpListener::bind(address).await.expect("a free port binds");
+        let listener = TcpListener::bind(address)
+            .await
+            .expect("failed to bind a free port");
         let state = Arc::new(ProxyState::default());
         let task = tokio::spawn(accept_loop(listener, upstream, Arc::clone(&state)));
         FaultProxy {
--- a/crates/standin/src/mesh.rs
+++ b/crates/standin/src/mesh.rs
@@ -52,7 +52,7 @@
             std::process::id(),
             free_port()
         ));
-        std::fs::create_dir_all(&dir).expect("a temporary directory can be made");
+        std::fs::create_dir_all(&dir).expect("failed to create a temporary directory");
         let mut daemons = Vec::new();
         let mut platform_fault_proxies = BTreeMap::new();
         for zone in &spec.zones {
@@ -148,7 +148,7 @@
             object,
             delta,
         };
-        let value = serde_json::to_value(pointer).expect("a pointer encodes");
+        let value = serde_json::to_value(pointer).expect("failed to encode the current pointer");
         let accepted = SystemTime::now();
         for _ in 0..PUBLISH_ATTEMPTS {
             let written = platform.put(StoreKey::CURRENT, WriteCondition::Any, value.clone());
@@ -156,7 +156,7 @@
                 return accepted;
             }
         }
-        panic!("the current row is not written");
+        panic!("failed to write the current row in {PUBLISH_ATTEMPTS} attempts");
     }
 
     /// Returns the statuses of the live daemons as filbertctl reads them from the
@@ -222,7 +222,7 @@
             return;
         }
     }
-    panic!("object {key} is not stored");
+    panic!("failed to store object {key} in {PUBLISH_ATTEMPTS} attempts");
 }
 
 impl Drop for LocalMesh {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,6 +1,6 @@
-//! The platform stand-in: a transactional table (versioned rows,
-//! compare-and-set, conditional insert, prefix scan) and an object store over
-//! HTTP, with switches for the platform's failures.
+//! The platform stand-in: an HTTP server with a transactional table (versioned
+//! rows, compare-and-set, conditional insert, prefix scan) and an object store.
+//! It can inject the platform's faults.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,7 +18,8 @@
 
 use crate::serving::{silent_rocket_config, wait_until_listening};
 
-/// The stand-in's whole state. Shared between the server and tests.
+/// Rows, objects, faults and counters of the stand-in, shared between the server
+/// and tests.
 #[derive(Default)]
 pub struct PlatformStore {
     inner: Mutex<StoreInner>,
@@ -32,31 +33,31 @@
     stats: PlatformStats,
 }
 
-/// What a handler answers: a status and a JSON body.
-type JsonReply = (Status, (ContentType, Vec<u8>));
+/// Response of a handler: a status and a JSON body.
+type JsonResponse = (Status, (ContentType, Vec<u8>));
 
 impl PlatformStore {
     fn lock(&self) -> MutexGuard<'_, StoreInner> {
-        // A panic while holding the lock would be a bug in this stand-in; the
-        // data is still consistent per operation, so carry on with it.
+        // A panic with the lock held would be a bug in this stand-in. Every
+        // operation leaves the data consistent, so a poisoned lock is still usable.
         self.inner
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Sets the fault switches.
-    pub fn set_faults(&self, switches: InjectedFaults) {
-        self.lock().faults = switches;
+    /// Sets the faults to inject from now on.
+    pub fn set_faults(&self, faults: InjectedFaults) {
+        self.lock().faults = faults;
     }
 
-    /// The counts so far.
+    /// Returns the counters.
     pub fn stats(&self) -> PlatformStats {
         self.lock().stats
     }
 
-    /// Applies the switches to one request: waits the set delay, then refuses
-    /// when the platform is down.
-    async fn gate(&self) -> Result<(), Status> {
+    /// Injects the faults that precede the handling of a request: waits for the
+    /// delay, then fails with status 503 if the platform is set to be down.
+    async fn delay_or_fail(&self) -> Result<(), Status> {
         let faults = self.lock().faults;
         if faults.delay_ms > 0 {
             tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
@@ -68,8 +69,9 @@
         }
     }
 
-    /// Takes one lost reply from the switches, if any are set.
-    fn take_lost_reply(inner: &mut StoreInner) -> bool {
+    /// Whether the response to the current write is to be lost; if so, counts it
+    /// against `lose_replies`.
+    fn consume_lost_response(inner: &mut StoreInner) -> bool {
         if inner.faults.lose_replies > 0 {
             inner.faults.lose_replies -= 1;
             true
@@ -78,14 +80,20 @@
         }
     }
 
-    fn reply<T: serde::Serialize>(inner: &mut StoreInner, status: Status, body: &T) -> JsonReply {
+    /// Builds a JSON response and counts its bytes.
+    fn json_response<T: serde::Serialize>(
+        inner: &mut StoreInner,
+        status: Status,
+        body: &T,
+    ) -> JsonResponse {
         let bytes = serde_json::to_vec(body).unwrap_or_default();
         inner.stats.bytes_out += bytes.len() as u64;
         (status, (ContentType::JSON, bytes))
     }
 }
 
-fn row(key: &str, stored: &(u64, serde_json::Value)) -> TableRow {
+/// Builds the wire form of a stored row, which is its version and its value.
+fn table_row(key: &str, stored: &(u64, serde_json::Value)) -> TableRow {
     TableRow {
         key: key.to_owned(),
         version: stored.0,
@@ -97,16 +105,16 @@
 async fn table_get(
     store: &State<Arc<PlatformStore>>,
     request: Json<GetRequest>,
-) -> Result<JsonReply, Status> {
-    store.gate().await?;
+) -> Result<JsonResponse, Status> {
+    store.delay_or_fail().await?;
     let mut inner = store.lock();
     inner.stats.reads += 1;
     match inner
         .rows
         .get(&request.key)
-        .map(|stored| row(&request.key, stored))
+        .map(|stored| table_row(&request.key, stored))
     {
-        Some(found) => Ok(PlatformStore::reply(&mut inner, Status::Ok, &found)),
+        Some(found) => Ok(PlatformStore::json_response(&mut inner, Status::Ok, &found)),
         None => Err(Status::NotFound),
     }
 }
@@ -115,53 +123,61 @@
 async fn table_put(
     store: &State<Arc<PlatformStore>>,
     request: Json<PutRequest>,
-) -> Result<JsonReply, Status> {
-    store.gate().await?;
+) -> Result<JsonResponse, Status> {
+    store.delay_or_fail().await?;
     let mut inner = store.lock();
     let current = inner
         .rows
         .get(&request.key)
-        .map(|stored| row(&request.key, stored));
-    let holds = match (request.expect, &current) {
+        .map(|stored| table_row(&request.key, stored));
+    let is_condition_met = match (request.expect, &current) {
         (WriteCondition::Any, _) | (WriteCondition::Absent, None) => true,
         (WriteCondition::Version(expected), Some(found)) => found.version == expected,
         (WriteCondition::Absent, Some(_)) | (WriteCondition::Version(_), None) => false,
     };
-    if !holds {
-        return Ok(PlatformStore::reply(&mut inner, Status::Conflict, &current));
+    if !is_condition_met {
+        return Ok(PlatformStore::json_response(
+            &mut inner,
+            Status::Conflict,
+            &current,
+        ));
     }
     let version = current.map_or(1, |found| found.version + 1);
     inner
         .rows
         .insert(request.key.clone(), (version, request.value.clone()));
     inner.stats.writes += 1;
-    if PlatformStore::take_lost_reply(&mut inner) {
+    if PlatformStore::consume_lost_response(&mut inner) {
         return Err(Status::GatewayTimeout);
     }
-    let written = row(&request.key, &(version, request.value.clone()));
-    Ok(PlatformStore::reply(&mut inner, Status::Ok, &written))
+    let written = table_row(&request.key, &(version, request.value.clone()));
+    Ok(PlatformStore::json_response(
+        &mut inner,
+        Status::Ok,
+        &written,
+    ))
 }
 
 #[post("/table/scan", data = "<request>")]
 async fn table_scan(
     store: &State<Arc<PlatformStore>>,
     request: Json<ScanRequest>,
-) -> Result<JsonReply, Status> {
-    store.gate().await?;
+) -> Result<JsonResponse, Status> {
+    store.delay_or_fail().await?;
     let mut inner = store.lock();
     inner.stats.reads += 1;
     let rows: Vec<TableRow> = inner
         .rows
         .range(request.prefix.clone()..)
         .take_while(|(key, _)| key.starts_with(&request.prefix))
-        .map(|(key, stored)| row(key, stored))
+        .map(|(key, stored)| table_row(key, stored))
         .collect();
-    Ok(PlatformStore::reply(&mut inner, Status::Ok, &rows))
+    Ok(PlatformStore::json_response(&mut inner, Status::Ok, &rows))
 }
 
 #[put("/object/<key..>", data = "<data>")]
 async fn object_put(store: &State<Arc<PlatformStore>>, key: PathBuf, data: Data<'_>) -> Status {
-    if let Err(status) = store.gate().await {
+    if let Err(status) = store.delay_or_fail().await {
         return status;
     }
     let Ok(bytes) = data.open(64.mebibytes()).into_bytes().await else {
@@ -172,7 +188,7 @@
         .objects
         .insert(key.to_string_lossy().into_owned(), bytes.into_inner());
     inner.stats.writes += 1;
-    if PlatformStore::take_lost_reply(&mut inner) {
+    if PlatformStore::consume_lost_response(&mut inner) {
         return Status::GatewayTimeout;
     }
     Status::Ok
@@ -180,7 +196,7 @@
 
 #[get("/object/<key..>")]
 async fn object_get(store: &State<Arc<PlatformStore>>, key: PathBuf) -> Result<Vec<u8>, Status> {
-    store.gate().await?;
+    store.delay_or_fail().await?;
     let mut inner = store.lock();
     let Some(bytes) = inner.objects.get(&*key.to_string_lossy()).cloned() else {
         return Err(Status::NotFound);
@@ -190,9 +206,9 @@
     Ok(bytes)
 }
 
-#[post("/_faults", data = "<switches>")]
-fn set_faults(store: &State<Arc<PlatformStore>>, switches: Json<InjectedFaults>) -> Status {
-    store.set_faults(switches.into_inner());
+#[post("/_faults", data = "<faults>")]
+fn set_faults(store: &State<Arc<PlatformStore>>, faults: Json<InjectedFaults>) -> Status {
+    store.set_faults(faults.into_inner());
     Status::Ok
 }
 
@@ -201,7 +217,7 @@
     Json(store.stats())
 }
 
-/// Builds the stand-in server on `port` over `store`.
+/// Builds the stand-in server for `store`, to listen on the loopback `port`.
 #[must_use]
 pub fn server(port: u16, store: Arc<PlatformStore>) -> rocket::Rocket<rocket::Build> {
     rocket::custom(silent_rocket_config(port))
@@ -212,29 +228,30 @@
         )
 }
 
-/// A running stand-in: its address and its store.
+/// A running platform stand-in. Dropping the handle doesn't stop the server: call
+/// [`PlatformHandle::stop`].
 pub struct PlatformHandle {
     /// Base URL, such as `http://127.0.0.1:7000`.
     pub url: String,
-    /// Its address.
+    /// Address that the server listens on.
     pub address: SocketAddr,
-    /// The shared state, for switches and counts.
+    /// State shared with the server, for setting faults and reading counters.
     pub store: Arc<PlatformStore>,
     shutdown: rocket::Shutdown,
 }
 
 impl PlatformHandle {
-    /// Starts the stand-in on a free loopback port, in the current runtime.
+    /// Starts the stand-in on a free loopback port, in the current tokio runtime.
     ///
     /// # Panics
-    /// When the server cannot start, which leaves a test nothing to run against.
+    /// When the server can't start.
     pub async fn start() -> PlatformHandle {
         let port = crate::ports::free_port();
         let store = Arc::new(PlatformStore::default());
         let ignited = server(port, Arc::clone(&store))
             .ignite()
             .await
-            .expect("the platform stand-in ignites");
+            .expect("failed to start the platform stand-in");
         let shutdown = ignited.shutdown();
         tokio::spawn(ignited.launch());
         let address = SocketAddr::from(([127, 0, 0, 1], port));
--- a/crates/standin/src/ports.rs
+++ b/crates/standin/src/ports.rs
@@ -30,10 +30,10 @@
     for _ in 0..width {
         let offset = NEXT_OFFSET.fetch_add(1, Ordering::Relaxed);
         let port = PORT_RANGE.start + (start + offset) % width;
-        let port = u16::try_from(port).expect("the range lies within the port numbers");
+        let port = u16::try_from(port).expect("PORT_RANGE lies within the port numbers");
         if TcpStream::connect(("127.0.0.1", port)).is_err() {
             return port;
         }
     }
-    panic!("no loopback port is free");
+    panic!("no free loopback port in {PORT_RANGE:?}");
 }
--- a/crates/standin/src/process.rs
+++ b/crates/standin/src/process.rs
@@ -96,8 +96,9 @@
     pub fn spawn(exe: &Path, dir: &Path, spec: DaemonSpec) -> DaemonProcess {
         let config_path = dir.join(format!("{}.toml", spec.settings.id));
         let log_path = dir.join(format!("{}.log", spec.settings.id));
-        let text = toml::to_string(&spec.settings).expect("daemon settings are TOML");
-        std::fs::write(&config_path, text).expect("the mesh directory is writable");
+        let text =
+            toml::to_string(&spec.settings).expect("failed to encode the daemon settings as TOML");
+        std::fs::write(&config_path, text).expect("failed to write the settings file");
         let mut process = DaemonProcess {
             proxy_url: format!("http://{}", spec.settings.proxy_listen),
             admin_url: format!("http://{}", spec.settings.admin_listen),
@@ -122,15 +123,18 @@
             .create(true)
             .append(true)
             .open(&self.log_path)
-            .expect("the mesh directory is writable");
+            .expect("failed to open the log file");
         let child = Command::new(exe)
             .arg("--config")
             .arg(&self.config_path)
             .stdin(Stdio::null())
-            .stdout(log.try_clone().expect("a log file handle clones"))
+            .stdout(
+                log.try_clone()
+                    .expect("failed to duplicate the log file handle"),
+            )
             .stderr(log)
             .spawn()
-            .expect("filbertd starts");
+            .expect("failed to start filbertd");
         self.child = Some(child);
     }
 
@@ -207,8 +211,11 @@
     /// When the daemon doesn't respond with counters.
     pub async fn counters(&self) -> BTreeMap<String, u64> {
         let response = reqwest::get(format!("{}/metrics", self.admin_url)).await;
-        let response = response.expect("the daemon answers");
-        response.json().await.expect("counters are JSON")
+        let response = response.expect("the daemon did not respond");
+        response
+            .json()
+            .await
+            .expect("the daemon's counters are not JSON")
     }
 
     /// Reads one of the daemon's counters; 0 if the daemon doesn't report it yet.
--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -1,7 +1,7 @@
-//! Stand-in targets: the users' back ends (Co-op quoting and ordering,
-//! artwork and stock; Authority booking and documents). Each announces itself
-//! to the daemon on its host, reports its load, and records every execution of
-//! a call that changes something, so tests can count them.
+//! Stand-in targets: HTTP servers in place of the users' back ends (Co-op
+//! quoting and ordering, artwork and stock; Authority booking and documents).
+//! Each target announces itself and its load to the daemon on its host, and
+//! records every `POST` that it executes, so that tests can count executions.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -20,36 +20,39 @@
 use rocket::{get, post, routes, State};
 use serde::{Deserialize, Serialize};
 
-/// How often a target re-announces itself and its load.
+/// Time between a target's announcements of itself and its load; also the
+/// timeout of one announcement.
 pub const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How long a mute target holds a call: longer than any test waits.
-const MUTE_TIME: Duration = Duration::from_secs(45);
+/// Time that a target in [`TargetMode::NeverResponds`] holds a call before it
+/// responds after all. Longer than any test waits.
+const NO_RESPONSE_DURATION: Duration = Duration::from_secs(45);
 
-/// One execution of a call that changes something (`POST`).
+/// One execution of a `POST` on a target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExecutionRecord {
-    /// The target that ran it.
+    /// Announced address of the target that executed the call.
     pub target: String,
-    /// The call's path.
+    /// Path of the call.
     pub path: String,
-    /// The caller's idempotency key, if it sent one.
+    /// `idempotency-key` header of the call, if present.
     pub idempotency_key: Option<String>,
-    /// The caller's request id, if it came.
+    /// `x-request-id` header of the call, if present.
     pub request_id: Option<String>,
-    /// The call's body as text.
+    /// Body of the call.
     pub body: String,
 }
 
-/// Every execution on every target of one test or demo run.
+/// Executions on all targets of one test or demo run, and the request ids of all
+/// calls that the targets received.
 #[derive(Default)]
 pub struct ExecutionLog {
     records: Mutex<Vec<ExecutionRecord>>,
-    reached: Mutex<BTreeSet<String>>,
+    received: Mutex<BTreeSet<String>>,
 }
 
 impl ExecutionLog {
-    /// A copy of the records so far.
+    /// Returns a copy of the executions recorded so far, in order.
     pub fn records(&self) -> Vec<ExecutionRecord> {
         self.records
             .lock()
@@ -57,20 +60,21 @@
             .clone()
     }
 
-    /// Whether a call with this request id has reached any target.
+    /// Whether any target received a call with this request id, including calls
+    /// that the target rejected.
     pub fn has_received(&self, request_id: &str) -> bool {
-        self.reached_ids().contains(request_id)
+        self.received_ids().contains(request_id)
     }
 
-    fn reached_ids(&self) -> std::sync::MutexGuard<'_, BTreeSet<String>> {
-        self.reached
+    fn received_ids(&self) -> std::sync::MutexGuard<'_, BTreeSet<String>> {
+        self.received
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    fn note_reached(&self, request_id: Option<&String>) {
+    fn record_received(&self, request_id: Option<&String>) {
         if let Some(request_id) = request_id {
-            self.reached_ids().insert(request_id.clone());
+            self.received_ids().insert(request_id.clone());
         }
     }
 
@@ -82,33 +86,35 @@
     }
 }
 
-/// The answer a stand-in target gives: enough for a caller to check that the
-/// answer is its own and whole.
+/// JSON body of a target's successful response. It echoes the call, so that a
+/// caller can check that the response is complete and belongs to its call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TargetAnswer {
-    /// The service that answered.
+pub struct TargetResponseBody {
+    /// Service of the target.
     pub service: String,
-    /// The target's address.
+    /// Announced address of the target.
     pub target: String,
-    /// The path called.
+    /// Path of the call.
     pub path: String,
-    /// The caller's request id echoed back.
+    /// `x-request-id` header of the call, if present.
     pub request_id: Option<String>,
-    /// The call's body echoed back.
+    /// Body of the call; empty for a `GET`.
     pub body: String,
 }
 
-/// How a stand-in target treats calls.
+/// How a stand-in target handles calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TargetMode {
-    /// Runs them.
+    /// Executes calls and responds with success.
     #[default]
     Normal,
-    /// Declines them all as not run, as when shedding load.
+    /// Rejects all calls with status 503 and the outcome `not-run`, as an
+    /// overloaded target does.
     ShedsLoad,
-    /// Fails them all at once, while its reports look idle and well.
+    /// Responds to all calls with status 500 at once, while its announcements
+    /// report no load.
     Fails,
-    /// Runs them and never answers.
+    /// Executes calls and sends no response for as long as any test waits.
     NeverResponds,
 }
 
@@ -120,10 +126,11 @@
     in_flight: AtomicU32,
     served: AtomicU32,
     misdirected: AtomicU32,
-    log: Arc<ExecutionLog>,
+    executions: Arc<ExecutionLog>,
 }
 
-/// Headers a stand-in target reads from a call.
+/// Headers of a call, and its query parameter `delay_ms`: the additional time to
+/// wait before the response, 0 if absent.
 struct CallHeaders {
     request_id: Option<String>,
     idempotency_key: Option<String>,
@@ -149,10 +156,11 @@
     }
 }
 
-/// A target's answer with its load, or its refusal of a call it did not run.
+/// A target's response to a call: success with the target's load, or a rejection
+/// or failure of a call that the target did not execute.
 #[derive(rocket::response::Responder)]
-enum TargetReply {
-    Answer(Json<TargetAnswer>, Header<'static>),
+enum TargetResponse {
+    Success(Json<TargetResponseBody>, Header<'static>),
     Declined((Status, &'static str), Header<'static>),
     Misdirected((Status, &'static str)),
     Failed(Status),
@@ -160,41 +168,46 @@
 
 impl TargetState {
     fn mode(&self) -> TargetMode {
-        // The mode is one value, so a poisoned lock is still usable.
+        // The mode is a single value that no panic can leave half written, so
+        // a poisoned lock is still usable.
         *self
             .mode
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// The refusal of a call that must not run here, if it must not.
-    fn refusal(&self, headers: &CallHeaders) -> Option<TargetReply> {
-        self.log.note_reached(headers.request_id.as_ref());
-        let meant = headers.service.as_ref();
-        if meant.is_some_and(|service| *service != self.service) {
+    /// Records that the call was received. Returns the response to a call that
+    /// this target must not execute, because it is meant for another service or
+    /// because of the target's mode; `None` if the call is to be executed.
+    fn rejection(&self, headers: &CallHeaders) -> Option<TargetResponse> {
+        self.executions.record_received(headers.request_id.as_ref());
+        let requested = headers.service.as_ref();
+        if requested.is_some_and(|service| *service != self.service) {
             self.misdirected.fetch_add(1, Ordering::SeqCst);
             let status = Status::new(421);
-            return Some(TargetReply::Misdirected((
+            return Some(TargetResponse::Misdirected((
                 status,
                 "another service is meant",
             )));
         }
         match self.mode() {
             TargetMode::Normal | TargetMode::NeverResponds => None,
-            TargetMode::Fails => Some(TargetReply::Failed(Status::InternalServerError)),
-            TargetMode::ShedsLoad => Some(TargetReply::Declined(
+            TargetMode::Fails => Some(TargetResponse::Failed(Status::InternalServerError)),
+            TargetMode::ShedsLoad => Some(TargetResponse::Declined(
                 (Status::ServiceUnavailable, "shedding load"),
                 Header::new("x-filbert-outcome", "not-run"),
             )),
         }
     }
 
+    /// Waits for the delays of the target and of the call, then responds with
+    /// success and the load that remains.
     async fn serve(
         &self,
         path: &std::path::Path,
         headers: CallHeaders,
         body: String,
-    ) -> TargetReply {
+    ) -> TargetResponse {
         self.served.fetch_add(1, Ordering::SeqCst);
         self.in_flight.fetch_add(1, Ordering::SeqCst);
         let delay = self.delay + Duration::from_millis(headers.delay_ms);
@@ -202,44 +215,44 @@
             tokio::time::sleep(delay).await;
         }
         if self.mode() == TargetMode::NeverResponds {
-            tokio::time::sleep(MUTE_TIME).await;
+            tokio::time::sleep(NO_RESPONSE_DURATION).await;
         }
         let load = self.in_flight.fetch_sub(1, Ordering::SeqCst) - 1;
-        let answer = TargetAnswer {
+        let response_body = TargetResponseBody {
             service: self.service.clone(),
             target: self.address.clone(),
             path: format!("/{}", path.to_string_lossy()),
             request_id: headers.request_id,
             body,
         };
-        TargetReply::Answer(
-            Json(answer),
+        TargetResponse::Success(
+            Json(response_body),
             Header::new("x-filbert-load", load.to_string()),
         )
     }
 }
 
 #[get("/<path..>")]
-async fn read_call(
+async fn handle_get(
     state: &State<Arc<TargetState>>,
     path: PathBuf,
     headers: CallHeaders,
-) -> TargetReply {
-    match state.refusal(&headers) {
-        Some(refusal) => refusal,
+) -> TargetResponse {
+    match state.rejection(&headers) {
+        Some(rejection) => rejection,
         None => state.serve(&path, headers, String::new()).await,
     }
 }
 
 #[post("/<path..>", data = "<data>")]
-async fn write_call(
+async fn handle_post(
     state: &State<Arc<TargetState>>,
     path: PathBuf,
     headers: CallHeaders,
     data: Data<'_>,
-) -> Result<TargetReply, Status> {
-    if let Some(refusal) = state.refusal(&headers) {
-        return Ok(refusal);
+) -> Result<TargetResponse, Status> {
+    if let Some(rejection) = state.rejection(&headers) {
+        return Ok(rejection);
     }
     let body = data
         .open(1.mebibytes())
@@ -254,24 +267,27 @@
         request_id: headers.request_id.clone(),
         body: body.clone(),
     };
-    state.log.push(record);
+    state.executions.push(record);
     Ok(state.serve(&path, headers, body).await)
 }
 
-/// Settings of one stand-in target.
+/// Settings of a stand-in target.
 #[derive(Clone, Debug)]
 pub struct TargetSpec {
-    /// The service it serves.
+    /// Service that the target serves.
     pub service: String,
-    /// Admin URL of the daemon on its host, such as `http://127.0.0.1:7101`.
+    /// Admin URL of the daemon on the target's host, such as
+    /// `http://127.0.0.1:7101`.
     pub daemon_admin_url: String,
-    /// Time it takes to answer each call.
+    /// Time from the receipt of a call to the response.
     pub delay: Duration,
 }
 
-/// A running stand-in target.
+/// A running stand-in target. Dropping the handle doesn't stop the target:
+/// call [`TargetHandle::stop`].
 pub struct TargetHandle {
-    /// Its address, `127.0.0.1:PORT`.
+    /// Announced address, `127.0.0.1:PORT`: the target's own, or that of the fault
+    /// proxy in front of it.
     pub address: String,
     state: Arc<TargetState>,
     leaving: Arc<AtomicBool>,
@@ -280,37 +296,38 @@
 }
 
 impl TargetHandle {
-    /// Starts a target on a free loopback port and begins announcing it.
+    /// Starts a target on a free loopback port and announces it to its daemon.
     ///
     /// # Panics
-    /// When the server cannot start.
-    pub async fn start(spec: &TargetSpec, log: Arc<ExecutionLog>) -> TargetHandle {
+    /// When the server can't start.
+    pub async fn start(spec: &TargetSpec, executions: Arc<ExecutionLog>) -> TargetHandle {
         let listen = SocketAddr::from(([127, 0, 0, 1], crate::ports::free_port()));
-        Self::start_at(spec, listen, listen, log).await
+        Self::start_at(spec, listen, listen, executions).await
     }
 
-    /// Starts a target behind a pipe, whose address it announces as its own.
+    /// Starts a target and a fault proxy in front of it. The target announces the
+    /// proxy's address instead of its own.
     ///
     /// # Panics
-    /// When the server or the pipe cannot start.
+    /// When the target or the fault proxy can't start.
     pub async fn start_behind_fault_proxy(
         spec: &TargetSpec,
-        log: Arc<ExecutionLog>,
+        executions: Arc<ExecutionLog>,
     ) -> (TargetHandle, FaultProxy) {
         let listen = SocketAddr::from(([127, 0, 0, 1], crate::ports::free_port()));
         let fault_proxy = FaultProxy::start(listen).await;
-        let handle = Self::start_at(spec, listen, fault_proxy.address, log).await;
+        let handle = Self::start_at(spec, listen, fault_proxy.address, executions).await;
         (handle, fault_proxy)
     }
 
     async fn start_at(
         spec: &TargetSpec,
         listen: SocketAddr,
-        shown: SocketAddr,
-        log: Arc<ExecutionLog>,
+        advertised: SocketAddr,
+        executions: Arc<ExecutionLog>,
     ) -> TargetHandle {
         let port = listen.port();
-        let address = shown.to_string();
+        let address = advertised.to_string();
         let state = Arc::new(TargetState {
             service: spec.service.clone(),
             address: address.clone(),
@@ -319,14 +336,14 @@
             in_flight: AtomicU32::new(0),
             served: AtomicU32::new(0),
             misdirected: AtomicU32::new(0),
-            log,
+            executions,
         });
         let ignited = rocket::custom(silent_rocket_config(port))
             .manage(Arc::clone(&state))
-            .mount("/", routes![read_call, write_call])
+            .mount("/", routes![handle_get, handle_post])
             .ignite()
             .await
-            .expect("a stand-in target ignites");
+            .expect("failed to start a stand-in target");
         let shutdown = ignited.shutdown();
         tokio::spawn(ignited.launch());
         wait_until_listening(port).await;
@@ -345,13 +362,13 @@
         }
     }
 
-    /// The service it serves.
+    /// Returns the service that the target serves.
     #[must_use]
     pub fn service(&self) -> &str {
         &self.state.service
     }
 
-    /// Sets how it treats calls from now on.
+    /// Sets how the target handles calls from now on.
     pub fn set_mode(&self, mode: TargetMode) {
         *self
             .state
@@ -360,30 +377,35 @@
             .unwrap_or_else(std::sync::PoisonError::into_inner) = mode;
     }
 
-    /// Calls it has taken on so far.
+    /// Returns the number of calls that the target has started to execute.
     #[must_use]
     pub fn served(&self) -> u32 {
         self.state.served.load(Ordering::SeqCst)
     }
 
-    /// Calls meant for another service that it has declined so far.
+    /// Returns the number of calls that the target rejected with status 421
+    /// because they were meant for another service.
     #[must_use]
     pub fn misdirected(&self) -> u32 {
         self.state.misdirected.load(Ordering::SeqCst)
     }
 
-    /// Announces that it is leaving; it keeps serving calls already sent.
+    /// Makes the target announce that it is leaving, so that its daemon sends it
+    /// no new calls. The target keeps serving the calls that it receives.
     pub fn announce_leaving(&self) {
         self.leaving.store(true, Ordering::SeqCst);
     }
 
-    /// Stops serving and announcing at once, as a crash would.
+    /// Shuts the server down and stops the announcements without announcing that
+    /// the target is leaving, as after a crash.
     pub fn stop(self) {
         self.announcer.abort();
         self.shutdown.notify();
     }
 }
 
+/// Announces the target and its load every [`ANNOUNCE_INTERVAL`]. The first
+/// announcement that the target is leaving is repeated without a pause.
 async fn announce_loop(
     daemon_admin_url: String,
     state: Arc<TargetState>,
@@ -391,25 +413,25 @@
 ) {
     let http = reqwest::Client::new();
     let url = format!("{daemon_admin_url}/announce");
-    let mut was_leaving = false;
+    let mut has_announced_leaving = false;
     loop {
-        let now_leaving = leaving.load(Ordering::SeqCst);
+        let is_leaving = leaving.load(Ordering::SeqCst);
         let announcement = TargetAnnouncement {
             service: state.service.clone(),
             address: state.address.clone(),
             load: state.in_flight.load(Ordering::SeqCst),
-            leaving: now_leaving,
+            leaving: is_leaving,
         };
-        // A daemon that is down or restarting misses announcements; the next
-        // one, a period later, repeats the whole state, so nothing is lost.
+        // A failed announcement needs no retry: a daemon that is down or
+        // restarting misses it, and the next one repeats the whole state.
         let _ = http
             .post(&url)
             .json(&announcement)
             .timeout(ANNOUNCE_INTERVAL)
             .send()
             .await;
-        if now_leaving && !was_leaving {
-            was_leaving = true;
+        if is_leaving && !has_announced_leaving {
+            has_announced_leaving = true;
             continue;
         }
         tokio::time::sleep(ANNOUNCE_INTERVAL).await;
--- a/crates/standin/src/trees.rs
+++ b/crates/standin/src/trees.rs
@@ -30,7 +30,7 @@
     pub fn build(self) -> SettingsTree {
         let mut tree = SettingsTree::default();
         tree.set(&BranchPath::Site, "name", "generated")
-            .expect("a site takes a name");
+            .expect("failed to set the site's name");
         for member in 0..self.members {
             for service in 0..self.services {
                 for route in 0..self.routes {
@@ -41,7 +41,7 @@
                     };
                     let path = format!("/s{service}/r{route}");
                     tree.set(&branch, "path", &path)
-                        .expect("a route takes a path");
+                        .expect("failed to set the route's path");
                 }
             }
         }
@@ -64,6 +64,6 @@
         route: "r2".to_owned(),
     };
     tree.set(&branch, "timeout_ms", &(1_000 + change).to_string())
-        .expect("the route exists");
+        .expect("failed to set the route's timeout");
     tree
 }
--- a/crates/standin/tests/table_contract.rs
+++ b/crates/standin/tests/table_contract.rs
@@ -1,6 +1,5 @@
-//! Contract of the platform's table and object store, as filbertladder relies
-//! on it, checked against the stand-in. Each case is a row: a starting row,
-//! a write, the switches in force, and what the client must see.
+//! Checks that the platform stand-in keeps the contract of the platform's table
+//! and object store on which filbertladder relies.
 
 use filbert_standin::platform::PlatformHandle;
 use filbert_store::{InjectedFaults, PlatformClient, PlatformError, WriteCondition, WriteOutcome};
@@ -8,83 +7,86 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// What a write must come to.
+/// Result of a write as the client sees it, with the row's version afterwards.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Seen {
-    /// Written; the row is now at this version.
+enum WriteResult {
+    /// The write succeeded; the row is now at this version.
     Written(u64),
-    /// Refused; the row stays at this version (0: absent).
+    /// The condition was not met; the row is still at this version (0: absent).
     Refused(u64),
-    /// No reply; the row is afterwards at this version (0: absent).
+    /// The client reported an error; the row is now at this version (0: absent).
     Failed(PlatformError, u64),
 }
 
-/// One case: the row before (`None`: absent, `Some(n)`: written n times),
-/// the condition, the switches, what is seen.
+/// A conditional write, the state that it meets and its expected result.
 struct WriteCase {
-    before: Option<u64>,
-    expect: WriteCondition,
+    /// Number of earlier writes to the row; `None` if the row is absent.
+    writes_before: Option<u64>,
+    /// Condition of the write.
+    condition: WriteCondition,
+    /// Faults injected during the write.
     faults: InjectedFaults,
-    seen: Seen,
+    /// Result of the write.
+    expected: WriteResult,
 }
 
-const CLEAR: InjectedFaults = InjectedFaults {
+const NO_FAULTS: InjectedFaults = InjectedFaults {
     down: false,
     delay_ms: 0,
     lose_replies: 0,
 };
-const LOSE_ONE: InjectedFaults = InjectedFaults {
+const LOSE_ONE_RESPONSE: InjectedFaults = InjectedFaults {
     down: false,
     delay_ms: 0,
     lose_replies: 1,
 };
-const DOWN: InjectedFaults = InjectedFaults {
+const PLATFORM_DOWN: InjectedFaults = InjectedFaults {
     down: true,
     delay_ms: 0,
     lose_replies: 0,
 };
 
 #[rstest]
-#[case::insert_when_absent(WriteCase { before: None, expect: WriteCondition::Absent, faults: CLEAR, seen: Seen::Written(1) })]
-#[case::insert_refused_when_present(WriteCase { before: Some(1), expect: WriteCondition::Absent, faults: CLEAR, seen: Seen::Refused(1) })]
-#[case::cas_on_current_version(WriteCase { before: Some(2), expect: WriteCondition::Version(2), faults: CLEAR, seen: Seen::Written(3) })]
-#[case::cas_on_stale_version(WriteCase { before: Some(2), expect: WriteCondition::Version(1), faults: CLEAR, seen: Seen::Refused(2) })]
-#[case::cas_on_absent_row(WriteCase { before: None, expect: WriteCondition::Version(1), faults: CLEAR, seen: Seen::Refused(0) })]
-#[case::blind_write(WriteCase { before: Some(4), expect: WriteCondition::Any, faults: CLEAR, seen: Seen::Written(5) })]
-#[case::lost_reply_still_wrote(WriteCase { before: Some(1), expect: WriteCondition::Version(1), faults: LOSE_ONE, seen: Seen::Failed(PlatformError::OutcomeUnknown, 2) })]
-#[case::lost_reply_on_insert(WriteCase { before: None, expect: WriteCondition::Absent, faults: LOSE_ONE, seen: Seen::Failed(PlatformError::OutcomeUnknown, 1) })]
-#[case::refusal_is_not_lost(WriteCase { before: Some(3), expect: WriteCondition::Version(1), faults: LOSE_ONE, seen: Seen::Refused(3) })]
-#[case::down_writes_nothing(WriteCase { before: Some(1), expect: WriteCondition::Any, faults: DOWN, seen: Seen::Failed(PlatformError::Unavailable, 1) })]
+#[case::insert_when_absent(WriteCase { writes_before: None, condition: WriteCondition::Absent, faults: NO_FAULTS, expected: WriteResult::Written(1) })]
+#[case::insert_refused_when_present(WriteCase { writes_before: Some(1), condition: WriteCondition::Absent, faults: NO_FAULTS, expected: WriteResult::Refused(1) })]
+#[case::cas_on_current_version(WriteCase { writes_before: Some(2), condition: WriteCondition::Version(2), faults: NO_FAULTS, expected: WriteResult::Written(3) })]
+#[case::cas_on_stale_version(WriteCase { writes_before: Some(2), condition: WriteCondition::Version(1), faults: NO_FAULTS, expected: WriteResult::Refused(2) })]
+#[case::cas_on_absent_row(WriteCase { writes_before: None, condition: WriteCondition::Version(1), faults: NO_FAULTS, expected: WriteResult::Refused(0) })]
+#[case::blind_write(WriteCase { writes_before: Some(4), condition: WriteCondition::Any, faults: NO_FAULTS, expected: WriteResult::Written(5) })]
+#[case::lost_reply_still_wrote(WriteCase { writes_before: Some(1), condition: WriteCondition::Version(1), faults: LOSE_ONE_RESPONSE, expected: WriteResult::Failed(PlatformError::OutcomeUnknown, 2) })]
+#[case::lost_reply_on_insert(WriteCase { writes_before: None, condition: WriteCondition::Absent, faults: LOSE_ONE_RESPONSE, expected: WriteResult::Failed(PlatformError::OutcomeUnknown, 1) })]
+#[case::refusal_is_not_lost(WriteCase { writes_before: Some(3), condition: WriteCondition::Version(1), faults: LOSE_ONE_RESPONSE, expected: WriteResult::Refused(3) })]
+#[case::down_writes_nothing(WriteCase { writes_before: Some(1), condition: WriteCondition::Any, faults: PLATFORM_DOWN, expected: WriteResult::Failed(PlatformError::Unavailable, 1) })]
 #[tokio::test]
-async fn conditional_writes(#[case] case: WriteCase) {
+async fn write_succeeds_only_if_its_condition_is_met(#[case] case: WriteCase) {
     let platform = PlatformHandle::start().await;
     let client = PlatformClient::new(&platform.url, Duration::from_secs(2));
-    for written in 0..case.before.unwrap_or(0) {
+    for written in 0..case.writes_before.unwrap_or(0) {
         client
             .put("row", WriteCondition::Any, json!(written))
             .await
             .expect("setup write");
     }
     platform.store.set_faults(case.faults);
-    let outcome = client.put("row", case.expect, json!("new")).await;
-    platform.store.set_faults(CLEAR);
+    let outcome = client.put("row", case.condition, json!("new")).await;
+    platform.store.set_faults(NO_FAULTS);
     let after = client
         .get("row")
         .await
         .expect("read back")
         .map_or(0, |row| row.version);
-    let seen = match outcome {
+    let result = match outcome {
         Ok(WriteOutcome::Written(row)) => {
             assert_eq!(row.version, after);
-            Seen::Written(row.version)
+            WriteResult::Written(row.version)
         }
         Ok(WriteOutcome::Refused(current)) => {
             assert_eq!(current.map_or(0, |row| row.version), after);
-            Seen::Refused(after)
+            WriteResult::Refused(after)
         }
-        Err(report) => Seen::Failed(*report.current_context(), after),
+        Err(report) => WriteResult::Failed(*report.current_context(), after),
     };
-    assert_eq!(seen, case.seen);
+    assert_eq!(result, case.expected);
     platform.stop();
 }
 
@@ -132,15 +134,14 @@
 }
 
 #[tokio::test]
-async fn slow_platform_times_out_as_unreachable() {
-    // The platform answers, but slower than the client's timeout. The client
-    // must give up at its timeout and say the platform is unreachable, not
-    // hang.
+async fn request_to_slow_platform_times_out_as_unreachable() {
+    // The platform responds, but later than the client's timeout. The client must
+    // not hang: it reports at its timeout that the platform is unreachable.
     let platform = PlatformHandle::start().await;
     let client = PlatformClient::new(&platform.url, Duration::from_millis(100));
     platform.store.set_faults(InjectedFaults {
         delay_ms: 500,
-        ..CLEAR
+        ..NO_FAULTS
     });
     let error = client.get("row").await.expect_err("times out");
     assert_eq!(*error.current_context(), PlatformError::Unreachable);
