--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod platform;
 pub mod ports;
 pub mod process;
-pub mod serving;
+pub mod rocket_server;
 pub mod spec;
 pub mod target;
 pub mod trees;
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -16,7 +16,7 @@
 use rocket::serde::json::Json;
 use rocket::{get, post, put, routes, State};
 
-use crate::serving::{silent_rocket_config, wait_until_listening};
+use crate::rocket_server::{silent_rocket_config, wait_until_listening};
 
 /// Rows, objects, faults and counters of the stand-in, shared between the server
 /// and tests.
--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use crate::fault_proxy::FaultProxy;
-use crate::serving::{silent_rocket_config, wait_until_listening};
+use crate::rocket_server::{silent_rocket_config, wait_until_listening};
 use filbert_store::TargetAnnouncement;
 use rocket::data::{Data, ToByteUnit};
 use rocket::http::{Header, Status};
