--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -27,7 +27,9 @@
 
 #[derive(Default)]
 struct StoreInner {
+    /// Version and value of each row, by key.
     rows: BTreeMap<String, (u64, serde_json::Value)>,
+    /// Objects by key.
     objects: BTreeMap<String, Vec<u8>>,
     faults: InjectedFaults,
     stats: PlatformStats,
@@ -244,7 +246,7 @@
     /// Starts the stand-in on a free loopback port, in the current tokio runtime.
     ///
     /// # Panics
-    /// When the server can't start.
+    /// When the server can't start: a test would have nothing to run against.
     pub async fn start() -> PlatformHandle {
         let port = crate::ports::free_port();
         let store = Arc::new(PlatformStore::default());
--- a/crates/standin/src/target.rs
+++ b/crates/standin/src/target.rs
@@ -48,6 +48,7 @@
 #[derive(Default)]
 pub struct ExecutionLog {
     records: Mutex<Vec<ExecutionRecord>>,
+    /// Request ids of all calls received, executed or not.
     received: Mutex<BTreeSet<String>>,
 }
 
@@ -120,11 +121,16 @@
 
 struct TargetState {
     service: String,
+    /// Announced address of the target.
     address: String,
+    /// Time from the receipt of a call to the response.
     delay: Duration,
     mode: Mutex<TargetMode>,
+    /// Number of calls being executed: the load that the target reports.
     in_flight: AtomicU32,
+    /// Number of calls that the target has started to execute.
     served: AtomicU32,
+    /// Number of calls rejected because they were meant for another service.
     misdirected: AtomicU32,
     executions: Arc<ExecutionLog>,
 }
