--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -1,4 +1,5 @@
-//! filbert-standin: runs the stand-ins as processes, or the local demo.
+//! `filbert-standin`: runs the platform stand-in as a process of its own, or
+//! the local demo.
 
 use std::process::ExitCode;
 
@@ -27,7 +28,7 @@
 #[rocket::main]
 async fn main() -> ExitCode {
     error_stack::Report::set_color_mode(error_stack::fmt::ColorMode::None);
-    filbert_standin::quiet_logs();
+    filbert_standin::init_error_logger();
     match Args::parse().command {
         StandinCommand::Platform { port } => {
             let store = std::sync::Arc::default();
