--- a/tests/mesh_calls.rs
+++ b/tests/mesh_calls.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use filbert_platform_standin::host::call_headers;
-use filbert_platform_standin::{Client, Conduct, RouteSpec, TargetServer};
+use filbert_platform_standin::{Client, RouteSpec, TargetBehaviour, TargetServer};
 use nix::sys::signal::Signal;
 use rstest::rstest;
 use users::{eventually, fleet, Fleet};
@@ -67,13 +67,13 @@
     assert_eq!(runs[0].line, "POST /order/a?b=%20c");
     assert_eq!(runs[0].body, b"the order");
     assert_eq!(runs[0].caller, "art", "the service of the caller's host");
-    assert_eq!(runs[0].wanted, "i-quoter-1");
-    assert!((1_000..=1_500).contains(&runs[0].left_ms), "{runs:?}");
+    assert_eq!(runs[0].target_instance, "i-quoter-1");
+    assert!((1_000..=1_500).contains(&runs[0].deadline_ms), "{runs:?}");
 }
 
 /// The conduct of the only target, and the statuses that callers should get.
 struct TargetConductCase {
-    conduct: Conduct,
+    behaviour: TargetBehaviour,
     /// Status of an idempotent call (`read`) and of one that runs at most once
     /// (`order`).
     read: u16,
@@ -81,24 +81,24 @@
 }
 
 #[rstest]
-#[case(TargetConductCase { conduct: Conduct::Answers, read: 200, order: 200 })]
-#[case(TargetConductCase { conduct: Conduct::Rejects, read: 503, order: 503 })]
-#[case(TargetConductCase { conduct: Conduct::Fails, read: 500, order: 500 })]
-#[case(TargetConductCase { conduct: Conduct::BreaksOff, read: 502, order: 502 })]
-#[case(TargetConductCase { conduct: Conduct::LosesAnswers, read: 502, order: 502 })]
-#[case(TargetConductCase { conduct: Conduct::Hangs, read: 504, order: 504 })]
-#[case(TargetConductCase { conduct: Conduct::Garbles, read: 502, order: 502 })]
-#[case(TargetConductCase { conduct: Conduct::ForeignFirst, read: 200, order: 200 })]
-#[case(TargetConductCase { conduct: Conduct::AnswersTwice, read: 200, order: 200 })]
-#[case(TargetConductCase { conduct: Conduct::Unsigned, read: 502, order: 502 })]
-#[case(TargetConductCase { conduct: Conduct::Encoded, read: 502, order: 502 })]
-#[case(TargetConductCase { conduct: Conduct::Chunks, read: 200, order: 200 })]
-#[case(TargetConductCase { conduct: Conduct::UntilClose, read: 200, order: 200 })]
+#[case(TargetConductCase { behaviour: TargetBehaviour::Responds, read: 200, order: 200 })]
+#[case(TargetConductCase { behaviour: TargetBehaviour::Rejects, read: 503, order: 503 })]
+#[case(TargetConductCase { behaviour: TargetBehaviour::Fails, read: 500, order: 500 })]
+#[case(TargetConductCase { behaviour: TargetBehaviour::TruncatesResponse, read: 502, order: 502 })]
+#[case(TargetConductCase { behaviour: TargetBehaviour::ClosesWithoutResponse, read: 502, order: 502 })]
+#[case(TargetConductCase { behaviour: TargetBehaviour::Hangs, read: 504, order: 504 })]
+#[case(TargetConductCase { behaviour: TargetBehaviour::SendsGarbage, read: 502, order: 502 })]
+#[case(TargetConductCase { behaviour: TargetBehaviour::SendsOtherResponseFirst, read: 200, order: 200 })]
+#[case(TargetConductCase { behaviour: TargetBehaviour::RespondsTwice, read: 200, order: 200 })]
+#[case(TargetConductCase { behaviour: TargetBehaviour::Unsigned, read: 502, order: 502 })]
+#[case(TargetConductCase { behaviour: TargetBehaviour::Encoded, read: 502, order: 502 })]
+#[case(TargetConductCase { behaviour: TargetBehaviour::Chunked, read: 200, order: 200 })]
+#[case(TargetConductCase { behaviour: TargetBehaviour::UntilClose, read: 200, order: 200 })]
 #[tokio::test]
 async fn a_caller_is_told_the_truth_whatever_the_target_does(#[case] case: TargetConductCase) {
     let fleet = caller_and_target().await;
     let target = &fleet.hosts[1].target;
-    target.set_conduct(case.conduct);
+    target.set_behaviour(case.behaviour);
     for round in 0..3 {
         for (line, body, expected) in [(READ, "", case.read), (ORDER, "order", case.order)] {
             let id = format!("{}-{round}", &line[..3]);
@@ -106,7 +106,7 @@
                 .call(line, &id, body.as_bytes())
                 .await
                 .expect("an answer");
-            assert_eq!(answer.status, expected, "{:?} {line}", case.conduct);
+            assert_eq!(answer.status, expected, "{:?} {line}", case.behaviour);
             if answer.status == 200 {
                 assert!(
                     answer.body.starts_with(id.as_bytes()),
@@ -128,23 +128,23 @@
 /// invalid. An idempotent call is sent to the other target, and the caller gets the
 /// answer of that target.
 #[rstest]
-#[case(Conduct::Rejects)]
-#[case(Conduct::Fails)]
-#[case(Conduct::BreaksOff)]
-#[case(Conduct::LosesAnswers)]
-#[case(Conduct::Garbles)]
-#[case(Conduct::Unsigned)]
+#[case(TargetBehaviour::Rejects)]
+#[case(TargetBehaviour::Fails)]
+#[case(TargetBehaviour::TruncatesResponse)]
+#[case(TargetBehaviour::ClosesWithoutResponse)]
+#[case(TargetBehaviour::SendsGarbage)]
+#[case(TargetBehaviour::Unsigned)]
 #[tokio::test]
-async fn failed_idempotent_call_is_retried_on_another_target(#[case] conduct: Conduct) {
+async fn failed_idempotent_call_is_retried_on_another_target(#[case] behaviour: TargetBehaviour) {
     let fleet = caller_and_two_targets().await;
-    fleet.hosts[1].target.set_conduct(conduct);
+    fleet.hosts[1].target.set_behaviour(behaviour);
     for round in 0..8 {
         let id = format!("read-{round}");
         let answer = fleet.hosts[0]
             .call(READ, &id, b"")
             .await
             .expect("an answer");
-        assert_eq!(answer.status, 200, "{conduct:?}");
+        assert_eq!(answer.status, 200, "{behaviour:?}");
         assert!(answer.body.starts_with(id.as_bytes()));
     }
 }
@@ -156,7 +156,8 @@
 async fn an_order_with_a_lost_answer_runs_once() {
     let fleet = caller_and_two_targets().await;
     for host in &fleet.hosts[1..] {
-        host.target.set_conduct(Conduct::LosesAnswers);
+        host.target
+            .set_behaviour(TargetBehaviour::ClosesWithoutResponse);
     }
     for round in 0..6 {
         let id = format!("order-{round}");
@@ -176,7 +177,7 @@
 async fn chunked_answer_ends_with_a_single_last_chunk() {
     let fleet = caller_and_target().await;
     let target = &fleet.hosts[1].target;
-    target.set_conduct(Conduct::Chunks);
+    target.set_behaviour(TargetBehaviour::Chunked);
     target.set_body_bytes(200_000);
     let mut client = fleet.connect(0).await;
     for round in 0..5 {
@@ -206,7 +207,7 @@
     let fleet = fleet(&[short], &hosts).await;
     for host in &fleet.hosts[1..] {
         host.target
-            .set_conduct(Conduct::FailsAfter(Duration::from_millis(290)));
+            .set_behaviour(TargetBehaviour::FailsAfter(Duration::from_millis(290)));
     }
     for round in 0..3 {
         let id = format!("read-{round}");
@@ -225,7 +226,7 @@
 async fn truncated_long_answer_does_not_look_complete() {
     let fleet = caller_and_target().await;
     let target = &fleet.hosts[1].target;
-    target.set_conduct(Conduct::BreaksOff);
+    target.set_behaviour(TargetBehaviour::TruncatesResponse);
     target.set_body_bytes(300_000);
     let answer = fleet.hosts[0].call(ORDER, "order-1", b"sign").await;
     assert!(answer.is_none(), "a truncated answer looked complete");
@@ -236,7 +237,7 @@
     let fleet = caller_and_target().await;
     fleet.hosts[1]
         .target
-        .set_conduct(Conduct::AnswersAfter(Duration::from_millis(400)));
+        .set_behaviour(TargetBehaviour::RespondsAfter(Duration::from_millis(400)));
     let mut client = fleet.connect(0).await;
     let started = Instant::now();
     for id in ["p-1", "p-2", "p-3"] {
@@ -299,7 +300,7 @@
 async fn a_caller_that_leaves_ends_the_run(#[case] host: usize) {
     let fleet = caller_and_target().await;
     let target = &fleet.hosts[1].target;
-    target.set_conduct(Conduct::Hangs);
+    target.set_behaviour(TargetBehaviour::Hangs);
     let mut client = fleet.connect(host).await;
     client
         .send(READ, &call_headers("left"), b"")
@@ -314,7 +315,7 @@
     drop(client);
     assert!(
         eventually(Duration::from_millis(500), || async {
-            target.dropped() == 1
+            target.cancelled_runs() == 1
         })
         .await
     );
@@ -327,7 +328,7 @@
 async fn excess_calls_are_queued_or_refused_without_running() {
     let fleet = caller_and_target().await;
     let target = &fleet.hosts[1].target;
-    target.set_conduct(Conduct::AnswersAfter(Duration::from_millis(150)));
+    target.set_behaviour(TargetBehaviour::RespondsAfter(Duration::from_millis(150)));
     let calls = fleet.hosts[0].calls;
     let mut tasks = Vec::new();
     for number in 0..60 {
@@ -360,9 +361,9 @@
         "sixty calls cannot all be served in time"
     );
     assert!(
-        target.most_running() <= 4,
+        target.max_running() <= 4,
         "{} at once",
-        target.most_running()
+        target.max_running()
     );
     let runs = target.runs();
     assert!(
@@ -403,7 +404,7 @@
 #[tokio::test]
 async fn split_route_follows_its_weights() {
     let mut split = RouteSpec::reads("/split/", "quotes");
-    split.parts = vec![("quotes".to_owned(), 80), ("art".to_owned(), 20)];
+    split.weighted_services = vec![("quotes".to_owned(), 80), ("art".to_owned(), 20)];
     let fleet = fleet(
         &[split],
         &[("caller", "a", "art"), ("quoter", "a", "quotes")],
@@ -541,7 +542,7 @@
     .await;
     assert!(are_relinked);
     let before = fleet.hosts[1].target.runs().len();
-    fleet.hosts[1].target.report_to(control);
+    fleet.hosts[1].target.start_reporting_to(control);
     tokio::time::sleep(Duration::from_secs(1)).await;
     for number in 0..20 {
         for host in &fleet.hosts {
--- a/tests/mesh_harmful.rs
+++ b/tests/mesh_harmful.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use filbert_platform_standin::host::call_headers;
-use filbert_platform_standin::{Client, Conduct, HarmfulCall, Host, RouteSpec, StoreFault};
+use filbert_platform_standin::{Client, HarmfulCall, Host, RouteSpec, StoreFault, TargetBehaviour};
 use rstest::rstest;
 use tokio::task::JoinSet;
 use users::{eventually, fleet, Fleet, SETTLE_WITHIN};
@@ -50,8 +50,8 @@
     for host in &fleet.hosts {
         host.target.set_harmful(HarmfulCall {
             line: line.to_owned(),
-            ends_after: Duration::from_millis(40),
-            back_after: Duration::from_millis(600),
+            crashes_after: Duration::from_millis(40),
+            restarts_after: Duration::from_millis(600),
         });
     }
     fleet
@@ -172,7 +172,7 @@
 #[case::those_of_the_targets(LossCase { killed: 2..7, store: StoreFault::None })]
 #[case::one_that_is_asked_then(LossCase { killed: 0..1, store: StoreFault::None })]
 #[case::all(LossCase { killed: 0..7, store: StoreFault::None })]
-#[case::those_of_the_targets_without_a_store(LossCase { killed: 2..7, store: StoreFault::Silent })]
+#[case::those_of_the_targets_without_a_store(LossCase { killed: 2..7, store: StoreFault::NeverResponds })]
 #[tokio::test(flavor = "multi_thread")]
 async fn hold_survives_restart_of_daemons(#[case] case: LossCase) {
     let mut fleet = start_fleet_with_harmful(HARMFUL_LOOKUP.line).await;
@@ -204,14 +204,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn held_row_is_written_again_after_restore_of_an_older_store() {
     let fleet = start_fleet_with_harmful(HARMFUL_LOOKUP.line).await;
-    let backup = fleet.store.copy();
+    let backup = fleet.store.snapshot();
     fleet.call_until_held(&HARMFUL_LOOKUP).await;
     let is_written = || async {
         let mut keys = fleet.store.keys("filbert-hosts").into_iter();
         keys.any(|key| key.starts_with("held/"))
     };
     assert!(eventually(SETTLE_WITHIN, is_written).await);
-    fleet.store.come_back_from(&backup);
+    fleet.store.restore_snapshot(&backup);
     assert!(!is_written().await);
     assert!(eventually(SETTLE_WITHIN, is_written).await, "written again");
 }
@@ -225,7 +225,7 @@
     let fleet = start_fleet_with_harmful("GET /read/nobody-asks").await;
     for host in &fleet.hosts {
         host.target
-            .set_conduct(Conduct::AnswersAfter(Duration::from_millis(200)));
+            .set_behaviour(TargetBehaviour::RespondsAfter(Duration::from_millis(200)));
     }
     for round in 0..3 {
         let mut clients = JoinSet::new();
@@ -238,7 +238,7 @@
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
         for host in &fleet.hosts[3..] {
-            host.target.end_now();
+            host.target.crash_now();
         }
         clients.join_all().await;
         // By then, the targets that ended are back.
@@ -269,8 +269,8 @@
     for host in &fleet.hosts {
         host.target.set_harmful(HarmfulCall {
             line: "GET /read/nobody-asks".to_owned(),
-            ends_after: Duration::ZERO,
-            back_after: Duration::ZERO,
+            crashes_after: Duration::ZERO,
+            restarts_after: Duration::ZERO,
         });
     }
     ctl(&fleet, &["release", &call]).await;
--- a/tests/mesh_links.rs
+++ b/tests/mesh_links.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use filbert_platform_standin::host::call_headers;
-use filbert_platform_standin::{Client, Conduct, RouteSpec};
+use filbert_platform_standin::{Client, RouteSpec, TargetBehaviour};
 use nix::sys::signal::Signal;
 use rstest::rstest;
 use users::{eventually, fleet, pair, Fleet, SETTLE_WITHIN};
@@ -26,7 +26,7 @@
 ) {
     let fleet = pair("b").await;
     let target = &fleet.hosts[1].target;
-    target.set_conduct(Conduct::AnswersAfter(Duration::from_millis(200)));
+    target.set_behaviour(TargetBehaviour::RespondsAfter(Duration::from_millis(200)));
     let mut client = fleet.call_under_way(line, "call-1").await;
     fleet.hosts[1].signal(Signal::SIGSTOP);
     tokio::time::sleep(Duration::from_millis(stall_ms)).await;
@@ -43,7 +43,9 @@
 async fn a_call_rejected_by_another_target_still_gets_its_first_answer() {
     let fleet = three_hosts().await;
     let (mut client, stalled, other) = call_under_way(&fleet).await;
-    fleet.hosts[other].target.set_conduct(Conduct::Rejects);
+    fleet.hosts[other]
+        .target
+        .set_behaviour(TargetBehaviour::Rejects);
     fleet.hosts[stalled].signal(Signal::SIGSTOP);
     tokio::time::sleep(Duration::from_millis(900)).await;
     fleet.hosts[stalled].signal(Signal::SIGCONT);
@@ -88,7 +90,7 @@
     .await;
     for host in &fleet.hosts[1..] {
         host.target
-            .set_conduct(Conduct::AnswersAfter(Duration::from_millis(150)));
+            .set_behaviour(TargetBehaviour::RespondsAfter(Duration::from_millis(150)));
     }
     fleet
 }
--- a/tests/mesh_logs.rs
+++ b/tests/mesh_logs.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use filbert_platform_standin::host::call_headers;
-use filbert_platform_standin::{Client, Conduct, Host, RouteSpec, StandinStore};
+use filbert_platform_standin::{Client, Host, RouteSpec, StandinStore, TargetBehaviour};
 use rstest::rstest;
 use users::{eventually, eventually_logs, fleet, host_spec, publish, SETTLE_WITHIN};
 
@@ -28,7 +28,7 @@
     let store = StandinStore::start().await;
     publish(&store, 1, &routes());
     let mut spec = host_spec(&store, "quoter", "a", "quotes");
-    spec.stalled_log = true;
+    spec.has_unread_stdout = true;
     let host = Host::start(spec).await;
     let served = eventually(SETTLE_WITHIN, || async {
         let answer = host.call(READ, "warm", b"").await;
@@ -36,7 +36,7 @@
     })
     .await;
     assert!(served);
-    host.target.set_conduct(Conduct::Rejects);
+    host.target.set_behaviour(TargetBehaviour::Rejects);
     let mut client = Client::connect(host.calls).await.expect("a connection");
     let until = Instant::now() + Duration::from_secs(4);
     let mut number = 0;
@@ -61,18 +61,18 @@
 
 /// A call's ending, and the line that must tell it.
 struct LineCase {
-    conduct: Conduct,
+    behaviour: TargetBehaviour,
     line: &'static str,
     parts: &'static [&'static str],
 }
 
 #[rstest]
-#[case(LineCase { conduct: Conduct::LosesAnswers, line: ORDER, parts: &["outcome=unknown status=502 reason=answer_lost", "host=quoter attempts=1"] })]
-#[case(LineCase { conduct: Conduct::Rejects, line: ORDER, parts: &["outcome=refused status=503 reason=target_rejected", "come_back_ms="] })]
-#[case(LineCase { conduct: Conduct::Hangs, line: ORDER, parts: &["outcome=timed_out status=504 reason=time_up", "host=quoter attempts=1"] })]
-#[case(LineCase { conduct: Conduct::Fails, line: READ, parts: &["outcome=target_failed status=500"] })]
-#[case(LineCase { conduct: Conduct::Answers, line: READ, parts: &["outcome=answered status=200"] })]
-#[case(LineCase { conduct: Conduct::Answers, line: "GET /none/ HTTP/1.1", parts: &["outcome=no_route status=404 reason=no_route"] })]
+#[case(LineCase { behaviour: TargetBehaviour::ClosesWithoutResponse, line: ORDER, parts: &["outcome=unknown status=502 reason=answer_lost", "host=quoter attempts=1"] })]
+#[case(LineCase { behaviour: TargetBehaviour::Rejects, line: ORDER, parts: &["outcome=refused status=503 reason=target_rejected", "come_back_ms="] })]
+#[case(LineCase { behaviour: TargetBehaviour::Hangs, line: ORDER, parts: &["outcome=timed_out status=504 reason=time_up", "host=quoter attempts=1"] })]
+#[case(LineCase { behaviour: TargetBehaviour::Fails, line: READ, parts: &["outcome=target_failed status=500"] })]
+#[case(LineCase { behaviour: TargetBehaviour::Responds, line: READ, parts: &["outcome=answered status=200"] })]
+#[case(LineCase { behaviour: TargetBehaviour::Responds, line: "GET /none/ HTTP/1.1", parts: &["outcome=no_route status=404 reason=no_route"] })]
 #[tokio::test]
 async fn the_last_line_of_a_call_tells_its_ending(#[case] case: LineCase) {
     let fleet = fleet(
@@ -80,7 +80,7 @@
         &[("caller", "a", "art"), ("quoter", "a", "quotes")],
     )
     .await;
-    fleet.hosts[1].target.set_conduct(case.conduct);
+    fleet.hosts[1].target.set_behaviour(case.behaviour);
     fleet.hosts[0]
         .call(case.line, "told", b"")
         .await
--- a/tests/mesh_members.rs
+++ b/tests/mesh_members.rs
@@ -148,10 +148,10 @@
 #[tokio::test]
 async fn followers_rewrite_their_lapsed_rows() {
     let fleet = zone().await;
-    fleet.store.set_fault(StoreFault::Resets);
+    fleet.store.set_fault(StoreFault::ResetsConnections);
     tokio::time::sleep(Duration::from_secs(3)).await;
     for name in NAMES {
-        fleet.store.lapse(HOSTS_TABLE, name);
+        fleet.store.remove_without_history(HOSTS_TABLE, name);
     }
     fleet.store.set_fault(StoreFault::None);
     let back = eventually(Duration::from_millis(2_500), || async {
@@ -310,7 +310,7 @@
     let mut routes = routes_of(1);
     routes.extend((0..1_500).map(|number| RouteSpec::reads(&format!("/idle{number}/"), "quotes")));
     let mut fleet = fleet(&routes, &hosts).await;
-    fleet.store.set_fault(StoreFault::Resets);
+    fleet.store.set_fault(StoreFault::ResetsConnections);
     fleet.hosts[0].kill();
     let before = fleet.hosts[0].log().len();
     fleet.hosts[0].start_daemon();
@@ -398,14 +398,14 @@
             assert!(serves(host, version, SETTLE_WITHIN).await, "{}", host.log());
         }
     }
-    let before = fleet.store.bytes_given();
+    let before = fleet.store.bytes_sent();
     let last = 3 + RELAYED_VERSIONS;
     let routes = routes_with_idle(last, 1_000);
     publish(&fleet.store, last, &routes);
     for host in &fleet.hosts {
         assert!(serves(host, last, SETTLE_WITHIN).await, "{}", host.log());
     }
-    let given = fleet.store.bytes_given() - before;
+    let given = fleet.store.bytes_sent() - before;
     let text = config_text(last, &routes).len() as u64;
     // Base64 takes four thirds of the text for each of the four daemons; the
     // rest is overhead.
@@ -540,7 +540,7 @@
     const OUTAGE: Duration = Duration::from_secs(6);
     let mut fleet = zones().await;
     assert!(eventually(SETTLE_WITHIN, || async { followers(&fleet).len() == 7 }).await);
-    fleet.store.set_fault(StoreFault::Resets);
+    fleet.store.set_fault(StoreFault::ResetsConnections);
     let before = feed_calls(&fleet);
     for host in followers(&fleet).into_iter().take(3) {
         fleet.hosts[host].kill();
@@ -578,7 +578,7 @@
     tokio::time::sleep(Duration::from_secs(1)).await;
     let before = lists();
     for _ in 0..3 {
-        fleet.store.set_fault(StoreFault::Resets);
+        fleet.store.set_fault(StoreFault::ResetsConnections);
         tokio::time::sleep(Duration::from_millis(700)).await;
         fleet.store.set_fault(StoreFault::None);
         tokio::time::sleep(Duration::from_millis(1_200)).await;
--- a/tests/mesh_organisations.rs
+++ b/tests/mesh_organisations.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use filbert_platform_standin::{
-    keyed_text, Answer, Client, Host, OrganisationSpec, RouteSpec, StoreFault,
+    config_text_with_organisations, Answer, Client, Host, OrganisationSpec, RouteSpec, StoreFault,
 };
 use filbert_policy::numbers::count_to_f64;
 use rstest::rstest;
@@ -20,7 +20,7 @@
     vec![
         RouteSpec::reads("/read/", "quotes"),
         RouteSpec {
-            is_open: true,
+            is_public: true,
             ..RouteSpec::reads("/open/", "quotes")
         },
     ]
@@ -52,7 +52,7 @@
 /// Publishes version `number` of the configuration and waits until it is in force on
 /// all hosts.
 async fn publish(fleet: &Fleet, number: u64, organisations: &[OrganisationSpec]) {
-    let text = keyed_text(number, &routes(), organisations);
+    let text = config_text_with_organisations(number, &routes(), organisations);
     fleet.store.put("op", "config", &text);
     for host in &fleet.hosts {
         let in_force = format!("event=version_in_force version={number:08x}");
@@ -127,11 +127,11 @@
         call(caller, READ, "warm", Some("key-n1")).await.status == 200
     });
     assert!(is_served.await, "{}", caller.log());
-    fleet.store.set_fault(StoreFault::Resets);
+    fleet.store.set_fault(StoreFault::ResetsConnections);
     let outage_began = Instant::now();
     // No daemon learns of this version: the store takes the operator's write, but
     // resets all connections of daemons.
-    let text = keyed_text(3, &routes(), &north_and_south()[1..]);
+    let text = config_text_with_organisations(3, &routes(), &north_and_south()[1..]);
     fleet.store.put("op", "config", &text);
     let mut last_run = Duration::ZERO;
     while outage_began.elapsed() < WITHDRAWAL_TIME + Duration::from_secs(2) {
--- a/tests/mesh_rollout.rs
+++ b/tests/mesh_rollout.rs
@@ -7,7 +7,7 @@
 
 use std::time::{Duration, Instant};
 
-use filbert_platform_standin::{Conduct, Host, RouteSpec, StoreFault};
+use filbert_platform_standin::{Host, RouteSpec, StoreFault, TargetBehaviour};
 use rollout::{
     duplicate_order_runs, order_rollout, reaches_state, rollout_list, rollout_state, routes, runs,
     start_new_targets, start_old_fleet, Traffic, IN_FLIGHT_TIME, ROLLOUT_TIME, RUN_TIME,
@@ -23,7 +23,7 @@
     let fleet = start_old_fleet().await;
     let traffic = Traffic::start(&fleet.hosts[0]);
     order_rollout(&fleet.store, "v2", ROLLOUT_TIME);
-    let new = start_new_targets(&fleet.store, Conduct::AnswersAfter(RUN_TIME)).await;
+    let new = start_new_targets(&fleet.store, TargetBehaviour::RespondsAfter(RUN_TIME)).await;
     assert!(reaches_state(&fleet.store, "running", Duration::from_secs(2)).await);
     assert!(reaches_state(&fleet.store, "completed", ROLLOUT_TIME).await);
     let at_work: u64 = fleet.hosts[2..]
@@ -45,41 +45,43 @@
 #[derive(Clone, Copy, Debug)]
 enum BadVersion {
     /// All targets have this conduct, from the start.
-    Always(Conduct),
+    Always(TargetBehaviour),
     /// All targets have this conduct, after this time.
-    After(Duration, Conduct),
+    After(Duration, TargetBehaviour),
     /// All targets have this conduct, but only on one route.
-    OnOneRoute(Conduct),
+    OnOneRoute(TargetBehaviour),
 }
 
 /// Guards against a bad version that gets more calls than a trial allows, or still
 /// gets calls after the roll-back.
 #[rstest]
-#[case(BadVersion::Always(Conduct::FailsAfter(RUN_TIME)))]
-#[case(BadVersion::Always(Conduct::AnswersAfter(RUN_TIME.saturating_mul(8))))]
-#[case(BadVersion::Always(Conduct::LosesAnswers))]
-#[case(BadVersion::OnOneRoute(Conduct::FailsAfter(RUN_TIME)))]
-#[case(BadVersion::After(Duration::from_secs(3), Conduct::FailsAfter(RUN_TIME)))]
-#[case(BadVersion::Always(Conduct::FailsAbove(1, RUN_TIME)))]
+#[case(BadVersion::Always(TargetBehaviour::FailsAfter(RUN_TIME)))]
+#[case(BadVersion::Always(TargetBehaviour::RespondsAfter(RUN_TIME.saturating_mul(8))))]
+#[case(BadVersion::Always(TargetBehaviour::ClosesWithoutResponse))]
+#[case(BadVersion::OnOneRoute(TargetBehaviour::FailsAfter(RUN_TIME)))]
+#[case(BadVersion::After(Duration::from_secs(3), TargetBehaviour::FailsAfter(RUN_TIME)))]
+#[case(BadVersion::Always(TargetBehaviour::FailsAboveConcurrency(1, RUN_TIME)))]
 #[tokio::test]
 async fn a_bad_version_is_rolled_back(#[case] bad_version: BadVersion) {
     let fleet = start_old_fleet().await;
     let traffic = Traffic::start(&fleet.hosts[0]);
     order_rollout(&fleet.store, "v2", ROLLOUT_TIME);
     let first = match bad_version {
-        BadVersion::Always(conduct) => conduct,
-        BadVersion::After(..) | BadVersion::OnOneRoute(_) => Conduct::AnswersAfter(RUN_TIME),
+        BadVersion::Always(behaviour) => behaviour,
+        BadVersion::After(..) | BadVersion::OnOneRoute(_) => {
+            TargetBehaviour::RespondsAfter(RUN_TIME)
+        }
     };
     let new = start_new_targets(&fleet.store, first).await;
-    if let BadVersion::OnOneRoute(conduct) = bad_version {
+    if let BadVersion::OnOneRoute(behaviour) = bad_version {
         for host in &new {
-            host.target.set_conduct_on("/rare/", conduct);
+            host.target.set_behaviour_for_prefix("/rare/", behaviour);
         }
     }
-    if let BadVersion::After(pause, conduct) = bad_version {
+    if let BadVersion::After(pause, behaviour) = bad_version {
         tokio::time::sleep(pause).await;
         for host in &new {
-            host.target.set_conduct(conduct);
+            host.target.set_behaviour(behaviour);
         }
     }
     assert!(reaches_state(&fleet.store, "rolled_back", ROLLOUT_TIME).await);
@@ -161,7 +163,7 @@
     assert!(eventually(SETTLE_WITHIN, || caller.is_ready()).await);
     let traffic = Traffic::start(&caller);
     order_rollout(&fleet.store, "v2", ROLLOUT_TIME);
-    let mut new = start_new_targets(&fleet.store, Conduct::AnswersAfter(RUN_TIME)).await;
+    let mut new = start_new_targets(&fleet.store, TargetBehaviour::RespondsAfter(RUN_TIME)).await;
     assert!(reaches_state(&fleet.store, "running", Duration::from_secs(2)).await);
     assert!(eventually(ROLLOUT_TIME, || async { runs(&new) > 0 }).await);
     let mut killed = 0;
@@ -173,7 +175,8 @@
     }
     assert!(killed > 0);
     for host in &new {
-        host.target.set_conduct(Conduct::FailsAfter(RUN_TIME));
+        host.target
+            .set_behaviour(TargetBehaviour::FailsAfter(RUN_TIME));
     }
     assert!(reaches_state(&fleet.store, "rolled_back", ROLLOUT_TIME).await);
     traffic.stop().await;
@@ -186,11 +189,12 @@
     let fleet = start_old_fleet().await;
     let traffic = Traffic::start(&fleet.hosts[0]);
     order_rollout(&fleet.store, "v2", ROLLOUT_TIME);
-    let new = start_new_targets(&fleet.store, Conduct::AnswersAfter(RUN_TIME)).await;
+    let new = start_new_targets(&fleet.store, TargetBehaviour::RespondsAfter(RUN_TIME)).await;
     assert!(eventually(ROLLOUT_TIME, || async { runs(&new) > 3 }).await);
-    fleet.store.set_fault(StoreFault::Resets);
+    fleet.store.set_fault(StoreFault::ResetsConnections);
     for host in &new {
-        host.target.set_conduct(Conduct::FailsAfter(RUN_TIME));
+        host.target
+            .set_behaviour(TargetBehaviour::FailsAfter(RUN_TIME));
     }
     for host in &fleet.hosts {
         assert!(eventually_logs(host, "stage=RolledBack").await);
@@ -212,7 +216,7 @@
     let mut fleet = start_old_fleet().await;
     let traffic = Traffic::start(&fleet.hosts[0]);
     order_rollout(&fleet.store, "v2", ROLLOUT_TIME);
-    let mut new = start_new_targets(&fleet.store, Conduct::FailsAfter(RUN_TIME)).await;
+    let mut new = start_new_targets(&fleet.store, TargetBehaviour::FailsAfter(RUN_TIME)).await;
     assert!(reaches_state(&fleet.store, "rolled_back", ROLLOUT_TIME).await);
     traffic.stop().await;
     for host in fleet.hosts.iter_mut().chain(&mut new) {
@@ -242,12 +246,12 @@
 async fn a_completed_roll_out_survives_a_restored_store() {
     let fleet = start_old_fleet().await;
     let traffic = Traffic::start(&fleet.hosts[0]);
-    let copy = fleet.store.copy();
+    let snapshot = fleet.store.snapshot();
     order_rollout(&fleet.store, "v2", ROLLOUT_TIME);
-    let new = start_new_targets(&fleet.store, Conduct::AnswersAfter(RUN_TIME)).await;
+    let new = start_new_targets(&fleet.store, TargetBehaviour::RespondsAfter(RUN_TIME)).await;
     assert!(reaches_state(&fleet.store, "completed", ROLLOUT_TIME).await);
-    fleet.store.set_fault(StoreFault::Resets);
-    fleet.store.come_back_from(&copy);
+    fleet.store.set_fault(StoreFault::ResetsConnections);
+    fleet.store.restore_snapshot(&snapshot);
     fleet.store.set_fault(StoreFault::None);
     order_rollout(&fleet.store, "v2", ROLLOUT_TIME);
     assert!(reaches_state(&fleet.store, "completed", SETTLE_WITHIN).await);
@@ -268,18 +272,19 @@
 async fn a_late_write_of_the_previous_era_has_no_effect() {
     let fleet = start_old_fleet().await;
     let traffic = Traffic::start(&fleet.hosts[0]);
-    let copy = fleet.store.copy();
+    let snapshot = fleet.store.snapshot();
     order_rollout(&fleet.store, "v2", ROLLOUT_TIME);
-    let new = start_new_targets(&fleet.store, Conduct::AnswersAfter(RUN_TIME)).await;
+    let new = start_new_targets(&fleet.store, TargetBehaviour::RespondsAfter(RUN_TIME)).await;
     assert!(eventually(ROLLOUT_TIME, || async { runs(&new) > 3 }).await);
     fleet
         .store
-        .set_fault(StoreFault::LateWrites(Duration::from_millis(1_500)));
+        .set_fault(StoreFault::DelaysWrites(Duration::from_millis(1_500)));
     for host in &new {
-        host.target.set_conduct(Conduct::FailsAfter(RUN_TIME));
+        host.target
+            .set_behaviour(TargetBehaviour::FailsAfter(RUN_TIME));
     }
     assert!(eventually_logs(&fleet.hosts[0], "stage=RolledBack").await);
-    fleet.store.come_back_from(&copy);
+    fleet.store.restore_snapshot(&snapshot);
     order_rollout(&fleet.store, "v2", ROLLOUT_TIME);
     fleet.store.set_fault(StoreFault::None);
     assert!(reaches_state(&fleet.store, "rolled_back", SETTLE_WITHIN).await);
@@ -295,7 +300,7 @@
 #[tokio::test]
 async fn rows_and_versions_survive_a_restored_store() {
     let fleet = start_old_fleet().await;
-    let copy = fleet.store.copy();
+    let snapshot = fleet.store.snapshot();
     let late = Host::start(host_spec(&fleet.store, "late", "b", "quotes")).await;
     let has_row = || async {
         fleet
@@ -312,9 +317,9 @@
         answer.is_some_and(|answer| answer.status == 200)
     };
     assert!(eventually(SETTLE_WITHIN, serves_new).await);
-    fleet.store.set_fault(StoreFault::Resets);
+    fleet.store.set_fault(StoreFault::ResetsConnections);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    fleet.store.come_back_from(&copy);
+    fleet.store.restore_snapshot(&snapshot);
     fleet.store.set_fault(StoreFault::None);
     assert!(
         eventually(Duration::from_secs(4), has_row).await,
--- a/tests/mesh_stops.rs
+++ b/tests/mesh_stops.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use filbert_platform_standin::{Conduct, RouteSpec, StoreFault};
+use filbert_platform_standin::{RouteSpec, StoreFault, TargetBehaviour};
 use nix::sys::signal::Signal;
 use users::{eventually, eventually_logs, fleet, pair, reload_with, Fleet, SETTLE_WITHIN};
 
@@ -29,7 +29,7 @@
     let mut fleet = pair("a").await;
     fleet.hosts[1]
         .target
-        .set_conduct(Conduct::AnswersAfter(Duration::from_millis(1_300)));
+        .set_behaviour(TargetBehaviour::RespondsAfter(Duration::from_millis(1_300)));
     let mut idle = fleet.connect(0).await;
     let mut busy = fleet.call_under_way(ORDER, "order-1").await;
     fleet.hosts[0].signal(Signal::SIGTERM);
@@ -52,7 +52,7 @@
     let mut fleet = pair("a").await;
     fleet.hosts[1]
         .target
-        .set_conduct(Conduct::AnswersAfter(Duration::from_millis(1_300)));
+        .set_behaviour(TargetBehaviour::RespondsAfter(Duration::from_millis(1_300)));
     let mut busy = fleet.call_under_way(ORDER, "order-1").await;
     fleet.hosts[1].signal(Signal::SIGTERM);
     miss_twice(&fleet, 1).await;
@@ -142,7 +142,7 @@
     route.timeout_ms = 20_000;
     let hosts = [("caller", "a", "art"), ("quoter", "a", "quotes")];
     let mut fleet = fleet(&[route], &hosts).await;
-    fleet.hosts[1].target.set_conduct(Conduct::Hangs);
+    fleet.hosts[1].target.set_behaviour(TargetBehaviour::Hangs);
     let mut client = fleet.connect(0).await;
     let headers = [
         ("Host", "shop.example"),
@@ -154,7 +154,7 @@
     assert!(eventually(SETTLE_WITHIN, || async { target.runs().len() == 1 }).await);
     let control = fleet.hosts[1].control;
     assert_eq!(fleet.hosts[1].target.leave(control).await, 200);
-    fleet.store.set_fault(StoreFault::Silent);
+    fleet.store.set_fault(StoreFault::NeverResponds);
     fleet.hosts[1].signal(Signal::SIGTERM);
     assert!(
         fleet.hosts[1].ended(GRACE).await,
--- a/tests/mesh_store.rs
+++ b/tests/mesh_store.rs
@@ -92,11 +92,11 @@
 /// still succeed, and a version published meanwhile must be in force after its
 /// return.
 #[rstest]
-#[case(StoreFault::Refuses(503))]
-#[case(StoreFault::Refuses(429))]
-#[case(StoreFault::Resets)]
-#[case(StoreFault::Silent)]
-#[case(StoreFault::Slow(Duration::from_millis(700)))]
+#[case(StoreFault::ReturnsStatus(503))]
+#[case(StoreFault::ReturnsStatus(429))]
+#[case(StoreFault::ResetsConnections)]
+#[case(StoreFault::NeverResponds)]
+#[case(StoreFault::DelaysResponses(Duration::from_millis(700)))]
 #[tokio::test]
 async fn calls_succeed_while_the_store_is_unreachable(#[case] fault: StoreFault) {
     let fleet = pair().await;
@@ -120,10 +120,10 @@
     let fleet = pair().await;
     let listed = || async { fleet.store.keys(HOSTS) == ["caller", "quoter"] };
     assert!(eventually(SETTLE_WITHIN, listed).await);
-    fleet.store.set_fault(StoreFault::Resets);
+    fleet.store.set_fault(StoreFault::ResetsConnections);
     tokio::time::sleep(Duration::from_secs(3)).await;
-    fleet.store.lapse(HOSTS, "caller");
-    fleet.store.lapse(HOSTS, "quoter");
+    fleet.store.remove_without_history(HOSTS, "caller");
+    fleet.store.remove_without_history(HOSTS, "quoter");
     fleet.store.set_fault(StoreFault::None);
     let back = eventually(Duration::from_millis(2_500), || async {
         fleet.store.keys(HOSTS).len() == 2
@@ -143,10 +143,10 @@
 #[tokio::test]
 async fn a_dropped_history_loses_no_version() {
     let fleet = pair().await;
-    fleet.store.forget_history();
+    fleet.store.compact_history();
     publish(&fleet.store, 2, &newer_routes());
     assert!(serves_new_route(&fleet, SETTLE_WITHIN).await);
-    fleet.store.forget_history();
+    fleet.store.compact_history();
     publish(&fleet.store, 3, &newer_routes()[..1]);
     let gone = eventually(SETTLE_WITHIN, || async {
         status_of(&fleet, 0, "/new/a").await == 404
@@ -158,8 +158,8 @@
 /// Answers to writes are lost, or writes are applied late. A daemon that starts
 /// meanwhile must still be registered once, and linked to.
 #[rstest]
-#[case(StoreFault::LosesWriteAnswers)]
-#[case(StoreFault::LateWrites(Duration::from_millis(800)))]
+#[case(StoreFault::DropsWriteResponses)]
+#[case(StoreFault::DelaysWrites(Duration::from_millis(800)))]
 #[tokio::test]
 async fn a_daemon_is_registered_though_its_writes_go_unanswered(#[case] fault: StoreFault) {
     let mut fleet = pair().await;
@@ -182,7 +182,7 @@
 #[tokio::test]
 async fn a_restarted_daemon_learns_from_peers_while_the_store_is_unreachable() {
     let mut fleet = pair().await;
-    fleet.store.set_fault(StoreFault::Refuses(503));
+    fleet.store.set_fault(StoreFault::ReturnsStatus(503));
     fleet.hosts[0].kill();
     assert_eq!(status_of(&fleet, 0, "/old/a").await, 0);
     fleet.hosts[0].start_daemon();
@@ -204,7 +204,7 @@
 #[tokio::test]
 async fn calls_without_a_version_get_503_not_404() {
     let mut fleet = pair().await;
-    fleet.store.set_fault(StoreFault::Resets);
+    fleet.store.set_fault(StoreFault::ResetsConnections);
     for host in &mut fleet.hosts {
         host.kill();
         host.start_daemon();
@@ -233,7 +233,7 @@
     let fleet = pair().await;
     publish(&fleet.store, 2, &newer_routes()[..1]);
     tokio::time::sleep(Duration::from_millis(300)).await;
-    fleet.store.set_fault(StoreFault::Silent);
+    fleet.store.set_fault(StoreFault::NeverResponds);
     tokio::time::sleep(Duration::from_secs(3)).await;
     fleet.store.set_fault(StoreFault::None);
     publish(&fleet.store, 3, &newer_routes());
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -40,10 +40,10 @@
         length: Duration::from_secs(12),
         hosts,
         callers: 3,
-        has_harmful: company == Company::HarmfulCall,
+        has_harmful_call: company == Company::HarmfulCall,
         has_rollout: company == Company::Rollout,
     })
     .await;
     println!("{}", report.text());
-    assert!(report.breaches.is_empty(), "{}", report.text());
+    assert!(report.violations.is_empty(), "{}", report.text());
 }
--- a/tests/support/rollout.rs
+++ b/tests/support/rollout.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use filbert_platform_standin::host::call_headers;
-use filbert_platform_standin::{Client, Conduct, Host, HostSpec, RouteSpec, StandinStore};
+use filbert_platform_standin::{Client, Host, HostSpec, RouteSpec, StandinStore, TargetBehaviour};
 
 use crate::users::{eventually, fleet, host_spec, Fleet};
 
@@ -100,7 +100,8 @@
     )
     .await;
     for host in &fleet.hosts {
-        host.target.set_conduct(Conduct::AnswersAfter(RUN_TIME));
+        host.target
+            .set_behaviour(TargetBehaviour::RespondsAfter(RUN_TIME));
     }
     fleet
 }
@@ -113,16 +114,16 @@
     store.put("op", "rollout/quotes", text.as_bytes());
 }
 
-/// Starts three targets of version 2 with this `conduct`.
-pub async fn start_new_targets(store: &StandinStore, conduct: Conduct) -> Vec<Host> {
+/// Starts three targets of version 2 with this `behaviour`.
+pub async fn start_new_targets(store: &StandinStore, behaviour: TargetBehaviour) -> Vec<Host> {
     let mut hosts = Vec::new();
     for (name, zone) in [("new-1", "a"), ("new-2", "b"), ("new-3", "a")] {
         let spec = HostSpec {
-            software: "v2".to_owned(),
+            software_version: "v2".to_owned(),
             ..host_spec(store, name, zone, "quotes")
         };
         let host = Host::start(spec).await;
-        host.target.set_conduct(conduct);
+        host.target.set_behaviour(behaviour);
         hosts.push(host);
     }
     hosts
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -31,9 +31,9 @@
         name: name.to_owned(),
         zone: zone.to_owned(),
         service: service.to_owned(),
-        software: "v1".to_owned(),
+        software_version: "v1".to_owned(),
         store: store.address,
-        stalled_log: false,
+        has_unread_stdout: false,
         piped_links: false,
         is_first_start: false,
     }
