--- a/tests/mesh_calls.rs
+++ b/tests/mesh_calls.rs
@@ -503,7 +503,7 @@
     let status = if drains {
         fleet.hosts[1].target.drain(control).await
     } else {
-        fleet.hosts[1].target.leave(control).await
+        fleet.hosts[1].target.deregister(control).await
     };
     assert_eq!(status, 200, "the acknowledgement");
     tokio::time::sleep(Duration::from_millis(1_500)).await;
--- a/tests/mesh_harmful.rs
+++ b/tests/mesh_harmful.rs
@@ -48,7 +48,7 @@
     )
     .await;
     for host in &fleet.hosts {
-        host.target.set_harmful(HarmfulCall {
+        host.target.set_harmful_call(HarmfulCall {
             line: line.to_owned(),
             crashes_after: Duration::from_millis(40),
             restarts_after: Duration::from_millis(600),
@@ -267,7 +267,7 @@
     assert!(listed[0]["ends"].as_u64() >= Some(3), "{listed}");
     let call = listed[0]["call"].as_str().expect("an identity").to_owned();
     for host in &fleet.hosts {
-        host.target.set_harmful(HarmfulCall {
+        host.target.set_harmful_call(HarmfulCall {
             line: "GET /read/nobody-asks".to_owned(),
             crashes_after: Duration::ZERO,
             restarts_after: Duration::ZERO,
--- a/tests/mesh_members.rs
+++ b/tests/mesh_members.rs
@@ -168,14 +168,22 @@
 async fn a_host_that_leaves_removes_its_row() {
     let mut fleet = zone().await;
     let control = fleet.hosts[0].control;
-    fleet.hosts[0].target.leave(control).await;
+    fleet.hosts[0].target.deregister(control).await;
     fleet.hosts[0].signal(Signal::SIGTERM);
-    assert!(fleet.hosts[0].ended(Duration::from_secs(6)).await);
+    assert!(
+        fleet.hosts[0]
+            .exited_cleanly_within(Duration::from_secs(6))
+            .await
+    );
     assert!(!fleet.store.keys(HOSTS_TABLE).contains(&"one".to_owned()));
     let forgotten = eventually_logs(&fleet.hosts[2], "event=host_forgotten host=one").await;
     assert!(forgotten, "{}", fleet.hosts[2].log());
     fleet.hosts[1].signal(Signal::SIGTERM);
-    assert!(fleet.hosts[1].ended(Duration::from_secs(6)).await);
+    assert!(
+        fleet.hosts[1]
+            .exited_cleanly_within(Duration::from_secs(6))
+            .await
+    );
     assert!(fleet.store.keys(HOSTS_TABLE).contains(&"two".to_owned()));
 }
 
--- a/tests/mesh_stops.rs
+++ b/tests/mesh_stops.rs
@@ -39,7 +39,9 @@
     assert_eq!(busy.answer().await.expect("the whole answer").status, 200);
     assert!(idle.is_closed_within(Duration::from_secs(5)).await);
     assert!(
-        fleet.hosts[0].ended(Duration::from_secs(6)).await,
+        fleet.hosts[0]
+            .exited_cleanly_within(Duration::from_secs(6))
+            .await,
         "{}",
         fleet.hosts[0].log()
     );
@@ -57,7 +59,11 @@
     fleet.hosts[1].signal(Signal::SIGTERM);
     miss_twice(&fleet, 1).await;
     assert_eq!(busy.answer().await.expect("the whole answer").status, 200);
-    assert!(fleet.hosts[1].ended(Duration::from_secs(6)).await);
+    assert!(
+        fleet.hosts[1]
+            .exited_cleanly_within(Duration::from_secs(6))
+            .await
+    );
     let answer = fleet.hosts[0]
         .call(ORDER, "order-2", b"sign")
         .await
@@ -79,7 +85,11 @@
     let (answer, ()) = tokio::join!(busy.answer(), miss_twice(&fleet, 1));
     let answer = answer.expect("the whole answer");
     assert_eq!(answer.body.len(), LENGTH, "{}", fleet.hosts[1].log());
-    assert!(fleet.hosts[1].ended(Duration::from_secs(6)).await);
+    assert!(
+        fleet.hosts[1]
+            .exited_cleanly_within(Duration::from_secs(6))
+            .await
+    );
 }
 
 /// Nobody asks for readiness. The stop must not wait for that for ever.
@@ -87,7 +97,11 @@
 async fn a_stop_ends_within_the_grace_time_without_checks() {
     let mut fleet = pair("a").await;
     fleet.hosts[0].signal(Signal::SIGTERM);
-    assert!(fleet.hosts[0].ended(Duration::from_secs(6)).await);
+    assert!(
+        fleet.hosts[0]
+            .exited_cleanly_within(Duration::from_secs(6))
+            .await
+    );
 }
 
 /// The settings file changes, announced or not. Calls go on, and the new
@@ -153,11 +167,11 @@
     let target = &fleet.hosts[1].target;
     assert!(eventually(SETTLE_WITHIN, || async { target.runs().len() == 1 }).await);
     let control = fleet.hosts[1].control;
-    assert_eq!(fleet.hosts[1].target.leave(control).await, 200);
+    assert_eq!(fleet.hosts[1].target.deregister(control).await, 200);
     fleet.store.set_fault(StoreFault::NeverResponds);
     fleet.hosts[1].signal(Signal::SIGTERM);
     assert!(
-        fleet.hosts[1].ended(GRACE).await,
+        fleet.hosts[1].exited_cleanly_within(GRACE).await,
         "{}",
         fleet.hosts[1].log()
     );
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -35,7 +35,7 @@
     #[case] company: Company,
 ) {
     let report = soak::run(&SoakSpec {
-        program: PathBuf::from(env!("CARGO_BIN_EXE_filbertd")),
+        daemon_path: PathBuf::from(env!("CARGO_BIN_EXE_filbertd")),
         seed,
         length: Duration::from_secs(12),
         hosts,
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -27,7 +27,7 @@
 /// What host `name` in `zone` with a target of `service` is started with.
 pub fn host_spec(store: &StandinStore, name: &str, zone: &str, service: &str) -> HostSpec {
     HostSpec {
-        program: PathBuf::from(env!("CARGO_BIN_EXE_filbertd")),
+        daemon_path: PathBuf::from(env!("CARGO_BIN_EXE_filbertd")),
         name: name.to_owned(),
         zone: zone.to_owned(),
         service: service.to_owned(),
