--- a/tests/mesh_logs.rs
+++ b/tests/mesh_logs.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use filbert_platform_standin::host::call_headers;
-use filbert_platform_standin::{Client, Conduct, Host, RouteSpec, StandinStore};
+use filbert_platform_standin::{Client, Host, RouteSpec, StandinStore, TargetBehaviour};
 use rstest::rstest;
 use users::{eventually, eventually_logs, fleet, host_spec, publish, SETTLE_WITHIN};
 
@@ -29,7 +29,7 @@
     let store = StandinStore::start().await;
     publish(&store, 1, &routes());
     let mut spec = host_spec(&store, "quoter", "a", "quotes");
-    spec.stalled_log = true;
+    spec.has_unread_stdout = true;
     let host = Host::start(spec).await;
     let is_serving = eventually(SETTLE_WITHIN, || async {
         let answer = host.call(READ, "warm", b"").await;
@@ -37,7 +37,7 @@
     })
     .await;
     assert!(is_serving);
-    host.target.set_conduct(Conduct::Rejects);
+    host.target.set_behaviour(TargetBehaviour::Rejects);
     let mut client = Client::connect(host.calls).await.expect("a connection");
     let deadline = Instant::now() + Duration::from_secs(4);
     let mut number = 0;
@@ -62,18 +62,18 @@
 
 /// A call, and what its `event=call_ended` log line must contain.
 struct CallEndedCase {
-    conduct: Conduct,
+    behaviour: TargetBehaviour,
     request_line: &'static str,
     expected_parts: &'static [&'static str],
 }
 
 #[rstest]
-#[case(CallEndedCase { conduct: Conduct::LosesAnswers, request_line: ORDER, expected_parts: &["outcome=unknown status=502 reason=answer_lost", "host=quoter attempts=1"] })]
-#[case(CallEndedCase { conduct: Conduct::Rejects, request_line: ORDER, expected_parts: &["outcome=refused status=503 reason=target_rejected", "come_back_ms="] })]
-#[case(CallEndedCase { conduct: Conduct::Hangs, request_line: ORDER, expected_parts: &["outcome=timed_out status=504 reason=time_up", "host=quoter attempts=1"] })]
-#[case(CallEndedCase { conduct: Conduct::Fails, request_line: READ, expected_parts: &["outcome=target_failed status=500"] })]
-#[case(CallEndedCase { conduct: Conduct::Answers, request_line: READ, expected_parts: &["outcome=answered status=200"] })]
-#[case(CallEndedCase { conduct: Conduct::Answers, request_line: "GET /none/ HTTP/1.1", expected_parts: &["outcome=no_route status=404 reason=no_route"] })]
+#[case(CallEndedCase { behaviour: TargetBehaviour::ClosesWithoutResponse, request_line: ORDER, expected_parts: &["outcome=unknown status=502 reason=answer_lost", "host=quoter attempts=1"] })]
+#[case(CallEndedCase { behaviour: TargetBehaviour::Rejects, request_line: ORDER, expected_parts: &["outcome=refused status=503 reason=target_rejected", "come_back_ms="] })]
+#[case(CallEndedCase { behaviour: TargetBehaviour::Hangs, request_line: ORDER, expected_parts: &["outcome=timed_out status=504 reason=time_up", "host=quoter attempts=1"] })]
+#[case(CallEndedCase { behaviour: TargetBehaviour::Fails, request_line: READ, expected_parts: &["outcome=target_failed status=500"] })]
+#[case(CallEndedCase { behaviour: TargetBehaviour::Responds, request_line: READ, expected_parts: &["outcome=answered status=200"] })]
+#[case(CallEndedCase { behaviour: TargetBehaviour::Responds, request_line: "GET /none/ HTTP/1.1", expected_parts: &["outcome=no_route status=404 reason=no_route"] })]
 #[tokio::test]
 async fn call_ended_line_states_how_the_call_ended(#[case] case: CallEndedCase) {
     let fleet = fleet(
@@ -81,7 +81,7 @@
         &[("caller", "a", "art"), ("quoter", "a", "quotes")],
     )
     .await;
-    fleet.hosts[1].target.set_conduct(case.conduct);
+    fleet.hosts[1].target.set_behaviour(case.behaviour);
     fleet.hosts[0]
         .call(case.request_line, "told", b"")
         .await
--- a/tests/mesh_stops.rs
+++ b/tests/mesh_stops.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use filbert_platform_standin::{Conduct, RouteSpec, StoreFault};
+use filbert_platform_standin::{RouteSpec, StoreFault, TargetBehaviour};
 use nix::sys::signal::Signal;
 use users::{eventually, eventually_logs, fleet, pair, reload_with, Fleet, SETTLE_WITHIN};
 
@@ -30,7 +30,7 @@
     let mut fleet = pair("a").await;
     fleet.hosts[1]
         .target
-        .set_conduct(Conduct::AnswersAfter(Duration::from_millis(1_300)));
+        .set_behaviour(TargetBehaviour::RespondsAfter(Duration::from_millis(1_300)));
     let mut idle = fleet.connect(0).await;
     let mut busy = fleet.call_under_way(ORDER, "order-1").await;
     fleet.hosts[0].signal(Signal::SIGTERM);
@@ -40,7 +40,9 @@
     assert_eq!(busy.answer().await.expect("the whole answer").status, 200);
     assert!(idle.is_closed_within(Duration::from_secs(5)).await);
     assert!(
-        fleet.hosts[0].ended(Duration::from_secs(6)).await,
+        fleet.hosts[0]
+            .exited_cleanly_within(Duration::from_secs(6))
+            .await,
         "{}",
         fleet.hosts[0].log()
     );
@@ -53,12 +55,16 @@
     let mut fleet = pair("a").await;
     fleet.hosts[1]
         .target
-        .set_conduct(Conduct::AnswersAfter(Duration::from_millis(1_300)));
+        .set_behaviour(TargetBehaviour::RespondsAfter(Duration::from_millis(1_300)));
     let mut busy = fleet.call_under_way(ORDER, "order-1").await;
     fleet.hosts[1].signal(Signal::SIGTERM);
     fail_two_readiness_checks(&fleet, 1).await;
     assert_eq!(busy.answer().await.expect("the whole answer").status, 200);
-    assert!(fleet.hosts[1].ended(Duration::from_secs(6)).await);
+    assert!(
+        fleet.hosts[1]
+            .exited_cleanly_within(Duration::from_secs(6))
+            .await
+    );
     let answer = fleet.hosts[0]
         .call(ORDER, "order-2", b"sign")
         .await
@@ -80,7 +86,11 @@
     let (answer, ()) = tokio::join!(busy.answer(), fail_two_readiness_checks(&fleet, 1));
     let answer = answer.expect("the whole answer");
     assert_eq!(answer.body.len(), LENGTH, "{}", fleet.hosts[1].log());
-    assert!(fleet.hosts[1].ended(Duration::from_secs(6)).await);
+    assert!(
+        fleet.hosts[1]
+            .exited_cleanly_within(Duration::from_secs(6))
+            .await
+    );
 }
 
 /// There are no readiness checks during a stop. The daemon must not wait for them until
@@ -89,7 +99,11 @@
 async fn a_stop_without_readiness_checks_ends_within_the_grace_time() {
     let mut fleet = pair("a").await;
     fleet.hosts[0].signal(Signal::SIGTERM);
-    assert!(fleet.hosts[0].ended(Duration::from_secs(6)).await);
+    assert!(
+        fleet.hosts[0]
+            .exited_cleanly_within(Duration::from_secs(6))
+            .await
+    );
 }
 
 /// The settings file changes, with and without a SIGHUP, and is invalid in between. Calls
@@ -143,7 +157,7 @@
     route.timeout_ms = 20_000;
     let hosts = [("caller", "a", "art"), ("quoter", "a", "quotes")];
     let mut fleet = fleet(&[route], &hosts).await;
-    fleet.hosts[1].target.set_conduct(Conduct::Hangs);
+    fleet.hosts[1].target.set_behaviour(TargetBehaviour::Hangs);
     let mut client = fleet.connect(0).await;
     let headers = [
         ("Host", "shop.example"),
@@ -154,11 +168,11 @@
     let target = &fleet.hosts[1].target;
     assert!(eventually(SETTLE_WITHIN, || async { target.runs().len() == 1 }).await);
     let control = fleet.hosts[1].control;
-    assert_eq!(fleet.hosts[1].target.leave(control).await, 200);
-    fleet.store.set_fault(StoreFault::Silent);
+    assert_eq!(fleet.hosts[1].target.deregister(control).await, 200);
+    fleet.store.set_fault(StoreFault::NeverResponds);
     fleet.hosts[1].signal(Signal::SIGTERM);
     assert!(
-        fleet.hosts[1].ended(GRACE).await,
+        fleet.hosts[1].exited_cleanly_within(GRACE).await,
         "{}",
         fleet.hosts[1].log()
     );
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -27,13 +27,13 @@
 /// What host `name` in `zone` with a target of `service` is started with.
 pub fn host_spec(store: &StandinStore, name: &str, zone: &str, service: &str) -> HostSpec {
     HostSpec {
-        program: PathBuf::from(env!("CARGO_BIN_EXE_filbertd")),
+        daemon_path: PathBuf::from(env!("CARGO_BIN_EXE_filbertd")),
         name: name.to_owned(),
         zone: zone.to_owned(),
         service: service.to_owned(),
-        software: "v1".to_owned(),
+        software_version: "v1".to_owned(),
         store: store.address,
-        stalled_log: false,
+        has_unread_stdout: false,
         piped_links: false,
         is_first_start: false,
     }
