--- a/tests/answers.rs
+++ b/tests/answers.rs
@@ -11,7 +11,7 @@
 use filbert_standin::target::{ExecutionRecord, TargetHandle, TargetMode, TargetSpec};
 use nix::sys::signal::Signal;
 use rstest::rstest;
-use support::{get, leader_of, mesh_in_force, spec, targets_known, DAEMON_EXE, SETTLE_WITHIN};
+use support::{get, leader_of, mesh_in_force, spec, targets_known, DAEMON_EXE, WAIT_TIMEOUT};
 
 /// Calls each of the concurrent callers makes.
 const CALLS: u64 = 12;
@@ -92,7 +92,7 @@
     let mesh = mesh_in_force(spec(&["quoting"]).zones(&["zone-a"])).await;
     // A daemon that has not heard of the other target yet has no choice.
     let knows_both = || async { targets_known(&mesh.daemons[0], "quoting").await == 2 };
-    assert!(support::eventually(SETTLE_WITHIN, knows_both).await);
+    assert!(support::eventually(WAIT_TIMEOUT, knows_both).await);
     mesh.targets[0].set_mode(case.mode);
     let mut failures = 0;
     for call in 0..20 {
@@ -124,7 +124,7 @@
         })
         .collect();
     let target = &mesh.targets[0];
-    let all_held = support::eventually(SETTLE_WITHIN, || async { target.served() == 9 });
+    let all_held = support::eventually(WAIT_TIMEOUT, || async { target.served() == 9 });
     assert!(all_held.await, "the slow calls did not all start");
     let refused = get(&proxy, "north-signs", "/quotes/one-more").await;
     assert_eq!(refused.status(), 503);
@@ -155,7 +155,7 @@
         delay: Duration::ZERO,
     };
     let (_target, pipe) = TargetHandle::start_piped(&target, Arc::clone(&mesh.executions)).await;
-    let known = support::eventually(SETTLE_WITHIN, || async {
+    let known = support::eventually(WAIT_TIMEOUT, || async {
         get(&daemon.proxy_url, "north-signs", "/quotes/first")
             .await
             .status()
--- a/tests/convergence_faults.rs
+++ b/tests/convergence_faults.rs
@@ -13,7 +13,7 @@
 use rstest::rstest;
 use support::{
     assert_never_backward, coop_with_timeout, eventually, get, in_force_on, leader_of,
-    mesh_in_force, spec, status, DAEMON_EXE, SETTLE_WITHIN,
+    mesh_in_force, spec, status, DAEMON_EXE, WAIT_TIMEOUT,
 };
 
 /// A fault on a settled mesh of two zones with four daemons each.
@@ -187,7 +187,7 @@
         in_force_on(&mesh, &everywhere, 2).await,
         "not in force after"
     );
-    let led = eventually(SETTLE_WITHIN, || async {
+    let led = eventually(WAIT_TIMEOUT, || async {
         leader_of(&mesh, "zone-a").await.is_some()
     });
     assert!(led.await, "zone-a has no relay");
--- a/tests/mesh_calls.rs
+++ b/tests/mesh_calls.rs
@@ -165,7 +165,7 @@
             .await
             .expect("an answer");
         assert_eq!(answer.status, 502);
-        assert_eq!(fleet.runs_of(&id), 1, "{id}");
+        assert_eq!(fleet.run_count(&id), 1, "{id}");
     }
 }
 
@@ -215,7 +215,7 @@
             .await
             .expect("an answer");
         assert!(answer.status >= 500);
-        assert_eq!(fleet.runs_of(&id), 1, "{id}");
+        assert_eq!(fleet.run_count(&id), 1, "{id}");
     }
 }
 
@@ -532,9 +532,9 @@
     fleet.hosts[1].kill();
     fleet.hosts[1].start_daemon();
     let host = &fleet.hosts[1];
-    assert!(eventually(users::SETTLE_WITHIN, || host.is_ready()).await);
+    assert!(eventually(users::WAIT_TIMEOUT, || host.is_ready()).await);
     let link_up = "event=link_up peer=first";
-    let are_relinked = eventually(users::SETTLE_WITHIN, || async {
+    let are_relinked = eventually(users::WAIT_TIMEOUT, || async {
         fleet.hosts[0].log().matches(link_up).count() == 2
             && fleet.hosts[2].log().matches(link_up).count() == 2
     })
--- a/tests/mesh_foreign.rs
+++ b/tests/mesh_foreign.rs
@@ -9,16 +9,16 @@
 
 use filbert_platform_standin::{Client, Host};
 use rstest::rstest;
-use users::{eventually, eventually_logs, host_spec, pair, Fleet, SETTLE_WITHIN};
+use users::{eventually, eventually_logs, host_spec, two_host_fleet, Fleet, WAIT_TIMEOUT};
 
 const HOSTS: &str = "filbert-hosts";
 /// How long calls are sent, to detect a fault that appears with a delay.
 const OBSERVATION_TIME: Duration = Duration::from_millis(900);
 
 /// Calls host 0 until the target on host 1 answers a call successfully; false if it
-/// does not within [`SETTLE_WITHIN`].
+/// does not within [`WAIT_TIMEOUT`].
 async fn eventually_served(fleet: &Fleet, id: &str) -> bool {
-    eventually(SETTLE_WITHIN, || async {
+    eventually(WAIT_TIMEOUT, || async {
         let answer = fleet.hosts[0].call("GET /read/a HTTP/1.1", id, b"").await;
         answer.is_some_and(|answer| answer.status == 200)
     })
@@ -50,7 +50,7 @@
 #[case(true)]
 #[tokio::test]
 async fn restarted_target_with_the_same_id_gets_calls(#[case] leaves_first: bool) {
-    let mut fleet = pair("a").await;
+    let mut fleet = two_host_fleet("a").await;
     // Wait for some reports, so that the sequence after the restart is behind.
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let control = fleet.hosts[1].control;
@@ -109,7 +109,7 @@
 })]
 #[tokio::test]
 async fn foreign_report_does_not_replace_the_target(#[case] case: ForeignReportCase) {
-    let fleet = pair("a").await;
+    let fleet = two_host_fleet("a").await;
     assert!(eventually_served(&fleet, "before").await);
     let control = fleet.hosts[1].control;
     let line = format!("PUT /instances/{} HTTP/1.1", case.id);
@@ -124,7 +124,7 @@
 /// is restored.
 #[tokio::test]
 async fn foreign_rows_neither_add_nor_hide_hosts() {
-    let mut fleet = pair("a").await;
+    let mut fleet = two_host_fleet("a").await;
     assert!(eventually_served(&fleet, "before").await);
     let address = ("other", "127.0.0.1:9", "a", "quotes");
     let other_hosts_row = bincode::serde::encode_to_vec(address, bincode::config::standard())
@@ -139,7 +139,7 @@
         "{}",
         fleet.hosts[0].log()
     );
-    let is_rewritten = eventually(SETTLE_WITHIN, || async {
+    let is_rewritten = eventually(WAIT_TIMEOUT, || async {
         // The row is written once when the host joins, by either daemon, and again
         // after the foreign row has replaced it.
         let logs: String = fleet.hosts.iter().map(Host::log).collect();
--- a/tests/mesh_harmful.rs
+++ b/tests/mesh_harmful.rs
@@ -10,7 +10,7 @@
 use filbert_platform_standin::{Client, Conduct, HarmfulCall, Host, RouteSpec, StoreFault};
 use rstest::rstest;
 use tokio::task::JoinSet;
-use users::{eventually, fleet, Fleet, SETTLE_WITHIN};
+use users::{eventually, fleet, Fleet, WAIT_TIMEOUT};
 
 /// Time from the third crash within which all daemons know of it.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(3);
@@ -113,7 +113,7 @@
             let answer = host.call(&request, &id, case.body.as_bytes()).await;
             if answer.is_some_and(|answer| answer.status == 503) {
                 assert_eq!(
-                    self.runs_of(&id),
+                    self.run_count(&id),
                     0,
                     "{id} was answered with 503, but has run"
                 );
@@ -127,12 +127,12 @@
     /// call were first seen.
     ///
     /// # Panics
-    /// If fewer than three runs are seen within [`SETTLE_WITHIN`], or if all daemons
+    /// If fewer than three runs are seen within [`WAIT_TIMEOUT`], or if all daemons
     /// take longer than that to hold the call.
     async fn call_until_held(&self, case: &HarmfulCase) -> Instant {
         let started = Instant::now();
         let mut third_crash = None;
-        while started.elapsed() < SETTLE_WITHIN {
+        while started.elapsed() < WAIT_TIMEOUT {
             self.call_until(case, Instant::now() + CALL_INTERVAL).await;
             if self.runs_of_line(case.line).len() >= 3 {
                 let third_crash = *third_crash.get_or_insert_with(Instant::now);
@@ -183,7 +183,7 @@
             let mut keys = fleet.store.keys("filbert-hosts").into_iter();
             keys.any(|key| key.starts_with("held/"))
         };
-        assert!(eventually(SETTLE_WITHIN, is_written).await);
+        assert!(eventually(WAIT_TIMEOUT, is_written).await);
     }
     for host in &mut fleet.hosts[case.killed.clone()] {
         host.kill();
@@ -210,10 +210,10 @@
         let mut keys = fleet.store.keys("filbert-hosts").into_iter();
         keys.any(|key| key.starts_with("held/"))
     };
-    assert!(eventually(SETTLE_WITHIN, is_written).await);
+    assert!(eventually(WAIT_TIMEOUT, is_written).await);
     fleet.store.come_back_from(&backup);
     assert!(!is_written().await);
-    assert!(eventually(SETTLE_WITHIN, is_written).await, "written again");
+    assert!(eventually(WAIT_TIMEOUT, is_written).await, "written again");
 }
 
 /// Guards against a hold on a popular call that was merely running on all targets
@@ -261,7 +261,7 @@
     assert_eq!(none.trim(), "no call is held back");
     fleet.call_until_held(&HARMFUL_LOOKUP).await;
     let is_listed = || async { ctl(&fleet, &["held"]).await.contains(" s ago") };
-    assert!(eventually(SETTLE_WITHIN, is_listed).await);
+    assert!(eventually(WAIT_TIMEOUT, is_listed).await);
     let listed = ctl(&fleet, &["held", "--output", "json"]).await;
     let listed: serde_json::Value = serde_json::from_str(&listed).expect("JSON");
     assert!(listed[0]["ends"].as_u64() >= Some(3), "{listed}");
@@ -287,7 +287,7 @@
         );
     }
     let is_gone = || async { ctl(&fleet, &["held"]).await.trim() == "no call is held back" };
-    assert!(eventually(SETTLE_WITHIN, is_gone).await);
+    assert!(eventually(WAIT_TIMEOUT, is_gone).await);
 }
 
 /// Runs `filbertctl mesh` with `arguments` and returns its standard output.
--- a/tests/mesh_links.rs
+++ b/tests/mesh_links.rs
@@ -9,7 +9,7 @@
 use filbert_platform_standin::{Client, Conduct, RouteSpec};
 use nix::sys::signal::Signal;
 use rstest::rstest;
-use users::{eventually, fleet, pair, Fleet, SETTLE_WITHIN};
+use users::{eventually, fleet, two_host_fleet, Fleet, WAIT_TIMEOUT};
 
 /// Guards against a call that fails although its target answers it. The daemon of
 /// the only target stalls for so long that it counts as unresponsive, or that its link
@@ -24,10 +24,10 @@
     #[case] line: &str,
     #[case] stall_ms: u64,
 ) {
-    let fleet = pair("b").await;
+    let fleet = two_host_fleet("b").await;
     let target = &fleet.hosts[1].target;
     target.set_conduct(Conduct::AnswersAfter(Duration::from_millis(200)));
-    let mut client = fleet.call_under_way(line, "call-1").await;
+    let mut client = fleet.start_call(line, "call-1").await;
     fleet.hosts[1].signal(Signal::SIGSTOP);
     tokio::time::sleep(Duration::from_millis(stall_ms)).await;
     fleet.hosts[1].signal(Signal::SIGCONT);
@@ -42,7 +42,7 @@
 #[tokio::test]
 async fn a_call_rejected_by_another_target_still_gets_its_first_answer() {
     let fleet = three_hosts().await;
-    let (mut client, stalled, other) = call_under_way(&fleet).await;
+    let (mut client, stalled, other) = start_call(&fleet).await;
     fleet.hosts[other].target.set_conduct(Conduct::Rejects);
     fleet.hosts[stalled].signal(Signal::SIGSTOP);
     tokio::time::sleep(Duration::from_millis(900)).await;
@@ -59,14 +59,14 @@
 
 /// Sends a call and waits until a target runs it. Returns the client's connection, the
 /// index of the host that runs the call, and the index of the other host.
-async fn call_under_way(fleet: &Fleet) -> (Client, usize, usize) {
+async fn start_call(fleet: &Fleet) -> (Client, usize, usize) {
     let mut client = fleet.connect(0).await;
     client
         .send("GET /read/a HTTP/1.1", &call_headers("call-1"), b"")
         .await
         .expect("sent");
     let at = |host| runs_at(fleet, host);
-    assert!(eventually(SETTLE_WITHIN, || async { at(1) + at(2) == 1 }).await);
+    assert!(eventually(WAIT_TIMEOUT, || async { at(1) + at(2) == 1 }).await);
     if at(1) == 1 {
         (client, 1, 2)
     } else {
@@ -99,7 +99,7 @@
 #[tokio::test]
 async fn a_repeatable_call_is_retried_when_its_link_is_unresponsive() {
     let fleet = three_hosts().await;
-    let (mut client, stalled, other) = call_under_way(&fleet).await;
+    let (mut client, stalled, other) = start_call(&fleet).await;
     fleet.hosts[stalled].signal(Signal::SIGSTOP);
     let answer = client.answer().await.expect("an answer");
     fleet.hosts[stalled].signal(Signal::SIGCONT);
--- a/tests/mesh_logs.rs
+++ b/tests/mesh_logs.rs
@@ -8,7 +8,7 @@
 use filbert_platform_standin::host::call_headers;
 use filbert_platform_standin::{Client, Conduct, Host, RouteSpec, StandinStore};
 use rstest::rstest;
-use users::{eventually, eventually_logs, fleet, host_spec, publish, SETTLE_WITHIN};
+use users::{eventually, eventually_logs, fleet, host_spec, publish, WAIT_TIMEOUT};
 
 const READ: &str = "GET /read/a HTTP/1.1";
 const ORDER: &str = "POST /order/a HTTP/1.1";
@@ -30,7 +30,7 @@
     let mut spec = host_spec(&store, "quoter", "a", "quotes");
     spec.stalled_log = true;
     let host = Host::start(spec).await;
-    let served = eventually(SETTLE_WITHIN, || async {
+    let served = eventually(WAIT_TIMEOUT, || async {
         let answer = host.call(READ, "warm", b"").await;
         answer.is_some_and(|answer| answer.status == 200)
     })
--- a/tests/mesh_members.rs
+++ b/tests/mesh_members.rs
@@ -11,7 +11,7 @@
 use nix::sys::signal::Signal;
 use rstest::rstest;
 use users::{
-    eventually, eventually_logs, fleet, host_spec, publish, reload_with, Fleet, SETTLE_WITHIN,
+    eventually, eventually_logs, fleet, host_spec, publish, reload_with, Fleet, WAIT_TIMEOUT,
 };
 
 const HOSTS_TABLE: &str = "filbert-hosts";
@@ -22,7 +22,7 @@
     let hosts: Vec<(&str, &str, &str)> = NAMES.iter().map(|name| (*name, "a", "quotes")).collect();
     let fleet = fleet(&routes_of(1), &hosts).await;
     assert!(
-        eventually(SETTLE_WITHIN, || async { followers(&fleet).len() == 2 }).await,
+        eventually(WAIT_TIMEOUT, || async { followers(&fleet).len() == 2 }).await,
         "{:?}",
         followers(&fleet)
     );
@@ -262,9 +262,9 @@
         pipes.push(pipe);
     }
     let fleet = Fleet { store, hosts };
-    fleet.settle().await;
+    fleet.wait_until_ready().await;
     // Each zone has one or two readers; two daemons of the fleet are sources.
-    assert!(eventually(SETTLE_WITHIN, || async { followers(&fleet).len() == 2 }).await);
+    assert!(eventually(WAIT_TIMEOUT, || async { followers(&fleet).len() == 2 }).await);
     for reader in readers(&fleet) {
         if fleet.hosts[reader].spec.zone == "a" {
             pipes[reader].set_mode(PipeMode::Swallow);
@@ -315,11 +315,11 @@
     let before = fleet.hosts[0].log().len();
     fleet.hosts[0].start_daemon();
     let host = &fleet.hosts[0];
-    assert!(serves(host, 1, SETTLE_WITHIN).await, "{}", host.log());
+    assert!(serves(host, 1, WAIT_TIMEOUT).await, "{}", host.log());
     for peer in &names[1..] {
         let linked =
             || async { host.log()[before..].contains(&format!("event=link_up peer={peer}")) };
-        assert!(eventually(SETTLE_WITHIN, linked).await, "{}", host.log());
+        assert!(eventually(WAIT_TIMEOUT, linked).await, "{}", host.log());
     }
     // Time in which the other peers could be asked for a text that is no longer
     // needed.
@@ -368,7 +368,7 @@
     let released = "event=link_down peer=quoter reason=\"host moved or removed\"";
     let is_unlinked = || async { caller.log().matches(released).count() >= 2 };
     assert!(
-        eventually(SETTLE_WITHIN, is_unlinked).await,
+        eventually(WAIT_TIMEOUT, is_unlinked).await,
         "{}",
         caller.log()
     );
@@ -395,7 +395,7 @@
     for version in 3..3 + RELAYED_VERSIONS {
         publish(&fleet.store, version, &routes_with_idle(version, 600));
         for host in &fleet.hosts {
-            assert!(serves(host, version, SETTLE_WITHIN).await, "{}", host.log());
+            assert!(serves(host, version, WAIT_TIMEOUT).await, "{}", host.log());
         }
     }
     let before = fleet.store.bytes_given();
@@ -403,7 +403,7 @@
     let routes = routes_with_idle(last, 1_000);
     publish(&fleet.store, last, &routes);
     for host in &fleet.hosts {
-        assert!(serves(host, last, SETTLE_WITHIN).await, "{}", host.log());
+        assert!(serves(host, last, WAIT_TIMEOUT).await, "{}", host.log());
     }
     let given = fleet.store.bytes_given() - before;
     let text = config_text(last, &routes).len() as u64;
@@ -422,7 +422,7 @@
 #[tokio::test]
 async fn two_sources_read_the_store_for_all_zones() {
     let fleet = zones().await;
-    assert!(eventually(SETTLE_WITHIN, || async { followers(&fleet).len() == 7 }).await);
+    assert!(eventually(WAIT_TIMEOUT, || async { followers(&fleet).len() == 7 }).await);
     let before = feed_calls(&fleet);
     for version in 2..=6 {
         publish(&fleet.store, version, &routes_of(version));
@@ -448,7 +448,7 @@
 #[tokio::test]
 async fn other_daemons_replace_failed_sources(#[case] signal: Signal) {
     let fleet = zones().await;
-    assert!(eventually(SETTLE_WITHIN, || async { followers(&fleet).len() == 7 }).await);
+    assert!(eventually(WAIT_TIMEOUT, || async { followers(&fleet).len() == 7 }).await);
     let followers = followers(&fleet);
     for source in readers(&fleet) {
         fleet.hosts[source].signal(signal);
@@ -490,10 +490,10 @@
         fleet.hosts.push(Host::start(spec).await);
     }
     let listed = || async { fleet.store.keys(HOSTS_TABLE).len() as u64 == HOSTS };
-    assert!(eventually(SETTLE_WITHIN, listed).await);
+    assert!(eventually(WAIT_TIMEOUT, listed).await);
     publish(&fleet.store, 1, &routes_of(1));
     for host in &fleet.hosts {
-        assert!(serves(host, 1, SETTLE_WITHIN).await, "{}", host.log());
+        assert!(serves(host, 1, WAIT_TIMEOUT).await, "{}", host.log());
     }
     let writes = fleet.store.calls("/rows-tx");
     let reads = fleet.store.calls("/rows-get");
@@ -526,7 +526,7 @@
         host.log()
     );
     let in_force = || async { host.log()[before..].contains("event=version_in_force") };
-    assert!(eventually(SETTLE_WITHIN, in_force).await);
+    assert!(eventually(WAIT_TIMEOUT, in_force).await);
     let log = &host.log()[before..];
     assert!(!log.contains("routes=2 from=store"), "{log}");
     assert_eq!(fleet.store.calls("/rows-get") - reads, 1, "{log}");
@@ -539,7 +539,7 @@
 async fn an_outage_causes_few_calls() {
     const OUTAGE: Duration = Duration::from_secs(6);
     let mut fleet = zones().await;
-    assert!(eventually(SETTLE_WITHIN, || async { followers(&fleet).len() == 7 }).await);
+    assert!(eventually(WAIT_TIMEOUT, || async { followers(&fleet).len() == 7 }).await);
     fleet.store.set_fault(StoreFault::Resets);
     let before = feed_calls(&fleet);
     for host in followers(&fleet).into_iter().take(3) {
@@ -594,7 +594,7 @@
 #[tokio::test]
 async fn a_restarted_fleet_does_not_wait_for_missing_sources() {
     let mut fleet = zones().await;
-    assert!(eventually(SETTLE_WITHIN, || async { followers(&fleet).len() == 7 }).await);
+    assert!(eventually(WAIT_TIMEOUT, || async { followers(&fleet).len() == 7 }).await);
     let gone = readers(&fleet);
     for host in &mut fleet.hosts {
         host.kill();
@@ -608,7 +608,7 @@
     for host in 0..fleet.hosts.len() {
         if !gone.contains(&host) {
             let host = &fleet.hosts[host];
-            assert!(serves(host, 1, SETTLE_WITHIN).await, "{}", host.log());
+            assert!(serves(host, 1, WAIT_TIMEOUT).await, "{}", host.log());
         }
     }
     let took = began.elapsed();
@@ -635,7 +635,7 @@
     }
     // Only the first daemon that links there logs it; the others may hear of
     // the removal before.
-    let is_reported = eventually(SETTLE_WITHIN, || async {
+    let is_reported = eventually(WAIT_TIMEOUT, || async {
         let has_logged = |host: &Host| {
             host.log()
                 .contains("event=host_replaced host=lost-0 by=one")
--- a/tests/mesh_organisations.rs
+++ b/tests/mesh_organisations.rs
@@ -11,7 +11,7 @@
 };
 use filbert_policy::numbers::count_to_f64;
 use rstest::rstest;
-use users::{eventually, eventually_logs, fleet, reload_with, Fleet, SETTLE_WITHIN};
+use users::{eventually, eventually_logs, fleet, reload_with, Fleet, WAIT_TIMEOUT};
 
 const READ: &str = "GET /read/a HTTP/1.1";
 const PUBLIC: &str = "GET /open/a HTTP/1.1";
@@ -91,7 +91,7 @@
 async fn a_target_is_told_the_organisation_and_never_the_key(#[case] case: HolderCase) {
     let fleet = fleet_with_organisations(&north_and_south()).await;
     let caller = &fleet.hosts[0];
-    let known = eventually(SETTLE_WITHIN, || async {
+    let known = eventually(WAIT_TIMEOUT, || async {
         call(caller, READ, "warm", Some("key-n1")).await.status == 200
     });
     assert!(known.await, "{}", caller.log());
@@ -123,7 +123,7 @@
         reload_with(host, "[withdrawal]\nwithin = \"4s\"").await;
     }
     let caller = &fleet.hosts[0];
-    let is_served = eventually(SETTLE_WITHIN, || async {
+    let is_served = eventually(WAIT_TIMEOUT, || async {
         call(caller, READ, "warm", Some("key-n1")).await.status == 200
     });
     assert!(is_served.await, "{}", caller.log());
@@ -149,7 +149,7 @@
         "a withdrawn key was accepted for {last_run:?}"
     );
     fleet.store.set_fault(StoreFault::None);
-    let rejected = eventually(SETTLE_WITHIN, || async {
+    let rejected = eventually(WAIT_TIMEOUT, || async {
         call(caller, READ, "late", Some("key-n1")).await.status == 401
     });
     assert!(rejected.await, "{}", caller.log());
@@ -180,7 +180,7 @@
             }
         }
     }
-    let runs = count_to_f64(fleet.runs_of("many"));
+    let runs = count_to_f64(fleet.run_count("many"));
     let allowed = 20.0 * TEST_TIME.as_secs_f64() + 10.0;
     assert!(runs <= allowed * 1.1 + 20.0, "{runs} of {allowed}");
     assert!(runs >= allowed * 0.4, "{runs} of {allowed}");
--- a/tests/mesh_rollout.rs
+++ b/tests/mesh_rollout.rs
@@ -13,7 +13,7 @@
     start_new_targets, start_old_fleet, Traffic, IN_FLIGHT_TIME, ROLLOUT_TIME, RUN_TIME,
 };
 use rstest::rstest;
-use users::{eventually, eventually_logs, host_spec, publish, SETTLE_WITHIN};
+use users::{eventually, eventually_logs, host_spec, publish, WAIT_TIMEOUT};
 
 /// Guards against three failures in the roll-out of a good version: its calls do
 /// not move before the deadline, calls are cut off when the old targets stop, or a
@@ -121,7 +121,7 @@
 async fn an_unreadable_order_changes_nothing(#[case] text: &[u8]) {
     let fleet = start_old_fleet().await;
     fleet.store.put("op", "rollout/quotes", text);
-    let logged = eventually(SETTLE_WITHIN, || async {
+    let logged = eventually(WAIT_TIMEOUT, || async {
         fleet
             .hosts
             .iter()
@@ -158,7 +158,7 @@
 async fn a_bad_version_is_rolled_back_although_its_deciders_die() {
     let mut fleet = start_old_fleet().await;
     let caller = Host::start(host_spec(&fleet.store, "caller-c", "b", "art")).await;
-    assert!(eventually(SETTLE_WITHIN, || caller.is_ready()).await);
+    assert!(eventually(WAIT_TIMEOUT, || caller.is_ready()).await);
     let traffic = Traffic::start(&caller);
     order_rollout(&fleet.store, "v2", ROLLOUT_TIME);
     let mut new = start_new_targets(&fleet.store, Conduct::AnswersAfter(RUN_TIME)).await;
@@ -201,7 +201,7 @@
     assert_eq!(runs(&new), before, "a call after the roll-back");
     assert_eq!(rollout_state(&fleet.store), "running");
     fleet.store.set_fault(StoreFault::None);
-    assert!(reaches_state(&fleet.store, "rolled_back", SETTLE_WITHIN).await);
+    assert!(reaches_state(&fleet.store, "rolled_back", WAIT_TIMEOUT).await);
     traffic.stop().await;
 }
 
@@ -222,7 +222,7 @@
         host.start_daemon();
     }
     for host in &fleet.hosts {
-        assert!(eventually(SETTLE_WITHIN, || host.is_ready()).await);
+        assert!(eventually(WAIT_TIMEOUT, || host.is_ready()).await);
     }
     let before = runs(&new);
     let started = Instant::now();
@@ -250,7 +250,7 @@
     fleet.store.come_back_from(&copy);
     fleet.store.set_fault(StoreFault::None);
     order_rollout(&fleet.store, "v2", ROLLOUT_TIME);
-    assert!(reaches_state(&fleet.store, "completed", SETTLE_WITHIN).await);
+    assert!(reaches_state(&fleet.store, "completed", WAIT_TIMEOUT).await);
     tokio::time::sleep(Duration::from_secs(2)).await;
     assert_eq!(rollout_state(&fleet.store), "completed");
     let old_runs = runs(&fleet.hosts[2..]);
@@ -282,7 +282,7 @@
     fleet.store.come_back_from(&copy);
     order_rollout(&fleet.store, "v2", ROLLOUT_TIME);
     fleet.store.set_fault(StoreFault::None);
-    assert!(reaches_state(&fleet.store, "rolled_back", SETTLE_WITHIN).await);
+    assert!(reaches_state(&fleet.store, "rolled_back", WAIT_TIMEOUT).await);
     let before = runs(&new);
     tokio::time::sleep(Duration::from_secs(2)).await;
     assert_eq!(rollout_state(&fleet.store), "rolled_back");
@@ -303,7 +303,7 @@
             .keys("filbert-hosts")
             .contains(&"late".to_owned())
     };
-    assert!(eventually(SETTLE_WITHIN, has_row).await);
+    assert!(eventually(WAIT_TIMEOUT, has_row).await);
     let mut newer = routes().to_vec();
     newer.push(RouteSpec::reads("/new/", "quotes"));
     publish(&fleet.store, 5, &newer);
@@ -311,7 +311,7 @@
         let answer = fleet.hosts[0].call("GET /new/a HTTP/1.1", "new", b"").await;
         answer.is_some_and(|answer| answer.status == 200)
     };
-    assert!(eventually(SETTLE_WITHIN, serves_new).await);
+    assert!(eventually(WAIT_TIMEOUT, serves_new).await);
     fleet.store.set_fault(StoreFault::Resets);
     tokio::time::sleep(Duration::from_millis(300)).await;
     fleet.store.come_back_from(&copy);
--- a/tests/mesh_silence.rs
+++ b/tests/mesh_silence.rs
@@ -7,7 +7,7 @@
 
 use filbert_platform_standin::{Host, RouteSpec, StandinStore};
 use filbert_standin::pipe::{FaultPipe, PipeMode};
-use users::{eventually, host_spec, publish, Fleet, SETTLE_WITHIN};
+use users::{eventually, host_spec, publish, Fleet, WAIT_TIMEOUT};
 
 /// Time within which an accepted version must be in force on every host.
 const IN_FORCE_WITHIN: Duration = Duration::from_secs(2);
@@ -44,9 +44,9 @@
         hosts.push(Host::start(spec).await);
     }
     let fleet = Fleet { store, hosts };
-    fleet.settle().await;
+    fleet.wait_until_ready().await;
     let follower_count = || fleet.hosts.iter().filter(|host| is_follower(host)).count();
-    assert!(eventually(SETTLE_WITHIN, || async { follower_count() == 2 }).await);
+    assert!(eventually(WAIT_TIMEOUT, || async { follower_count() == 2 }).await);
     let followers: Vec<&Host> = fleet
         .hosts
         .iter()
--- a/tests/mesh_stops.rs
+++ b/tests/mesh_stops.rs
@@ -7,7 +7,7 @@
 
 use filbert_platform_standin::{Conduct, RouteSpec, StoreFault};
 use nix::sys::signal::Signal;
-use users::{eventually, eventually_logs, fleet, pair, reload_with, Fleet, SETTLE_WITHIN};
+use users::{eventually, eventually_logs, fleet, reload_with, two_host_fleet, Fleet, WAIT_TIMEOUT};
 
 const READ: &str = "GET /read/a HTTP/1.1";
 const ORDER: &str = "POST /order/a HTTP/1.1";
@@ -26,12 +26,12 @@
 /// close without an answer cut.
 #[tokio::test]
 async fn a_stop_cuts_no_call() {
-    let mut fleet = pair("a").await;
+    let mut fleet = two_host_fleet("a").await;
     fleet.hosts[1]
         .target
         .set_conduct(Conduct::AnswersAfter(Duration::from_millis(1_300)));
     let mut idle = fleet.connect(0).await;
-    let mut busy = fleet.call_under_way(ORDER, "order-1").await;
+    let mut busy = fleet.start_call(ORDER, "order-1").await;
     fleet.hosts[0].signal(Signal::SIGTERM);
     let early = fleet.hosts[0].call(READ, "early", b"");
     let (early, ()) = tokio::join!(early, miss_twice(&fleet, 0));
@@ -49,11 +49,11 @@
 /// for another host must be answered whole, and new ones are not lost.
 #[tokio::test]
 async fn a_stop_beside_the_target_cuts_no_call() {
-    let mut fleet = pair("a").await;
+    let mut fleet = two_host_fleet("a").await;
     fleet.hosts[1]
         .target
         .set_conduct(Conduct::AnswersAfter(Duration::from_millis(1_300)));
-    let mut busy = fleet.call_under_way(ORDER, "order-1").await;
+    let mut busy = fleet.start_call(ORDER, "order-1").await;
     fleet.hosts[1].signal(Signal::SIGTERM);
     miss_twice(&fleet, 1).await;
     assert_eq!(busy.answer().await.expect("the whole answer").status, 200);
@@ -71,10 +71,10 @@
 #[tokio::test]
 async fn a_stop_cuts_no_answer_that_leaves_over_a_slow_link() {
     const LENGTH: usize = 200_000;
-    let mut fleet = pair("a").await;
+    let mut fleet = two_host_fleet("a").await;
     reload_with(&fleet.hosts[1], "[link]\nmbps = 0.7\n").await;
     fleet.hosts[1].target.set_body_bytes(LENGTH);
-    let mut busy = fleet.call_under_way(READ, "read-1").await;
+    let mut busy = fleet.start_call(READ, "read-1").await;
     fleet.hosts[1].signal(Signal::SIGTERM);
     let (answer, ()) = tokio::join!(busy.answer(), miss_twice(&fleet, 1));
     let answer = answer.expect("the whole answer");
@@ -85,7 +85,7 @@
 /// Nobody asks for readiness. The stop must not wait for that for ever.
 #[tokio::test]
 async fn a_stop_ends_within_the_grace_time_without_checks() {
-    let mut fleet = pair("a").await;
+    let mut fleet = two_host_fleet("a").await;
     fleet.hosts[0].signal(Signal::SIGTERM);
     assert!(fleet.hosts[0].ended(Duration::from_secs(6)).await);
 }
@@ -94,7 +94,7 @@
 /// settings are in force.
 #[tokio::test]
 async fn a_reload_harms_nothing() {
-    let fleet = pair("a").await;
+    let fleet = two_host_fleet("a").await;
     let path = &fleet.hosts[0].settings_path;
     let text = std::fs::read_to_string(path).expect("the settings");
     std::fs::write(
@@ -151,7 +151,7 @@
     ];
     client.send(READ, &headers, b"").await.expect("sent");
     let target = &fleet.hosts[1].target;
-    assert!(eventually(SETTLE_WITHIN, || async { target.runs().len() == 1 }).await);
+    assert!(eventually(WAIT_TIMEOUT, || async { target.runs().len() == 1 }).await);
     let control = fleet.hosts[1].control;
     assert_eq!(fleet.hosts[1].target.leave(control).await, 200);
     fleet.store.set_fault(StoreFault::Silent);
--- a/tests/mesh_store.rs
+++ b/tests/mesh_store.rs
@@ -9,7 +9,7 @@
 use filbert_platform_standin::{RouteSpec, StoreFault};
 use nix::sys::signal::Signal;
 use rstest::rstest;
-use users::{eventually, eventually_logs, fleet, publish, Fleet, SETTLE_WITHIN};
+use users::{eventually, eventually_logs, fleet, publish, Fleet, WAIT_TIMEOUT};
 
 /// The table in which hosts are registered.
 const HOSTS: &str = "filbert-hosts";
@@ -83,7 +83,7 @@
     }
     publish(&fleet.store, 10, &newer_routes());
     assert!(
-        serves_new_route(&fleet, SETTLE_WITHIN).await,
+        serves_new_route(&fleet, WAIT_TIMEOUT).await,
         "a good one after it"
     );
 }
@@ -109,7 +109,7 @@
     }
     publish(&fleet.store, 2, &newer_routes());
     fleet.store.set_fault(StoreFault::None);
-    assert!(serves_new_route(&fleet, SETTLE_WITHIN).await);
+    assert!(serves_new_route(&fleet, WAIT_TIMEOUT).await);
 }
 
 /// Rows lapse without a trace in the history while the store is unreachable.
@@ -119,7 +119,7 @@
 async fn a_lapsed_row_is_rewritten_after_the_stores_return() {
     let fleet = pair().await;
     let listed = || async { fleet.store.keys(HOSTS) == ["caller", "quoter"] };
-    assert!(eventually(SETTLE_WITHIN, listed).await);
+    assert!(eventually(WAIT_TIMEOUT, listed).await);
     fleet.store.set_fault(StoreFault::Resets);
     tokio::time::sleep(Duration::from_secs(3)).await;
     fleet.store.lapse(HOSTS, "caller");
@@ -145,10 +145,10 @@
     let fleet = pair().await;
     fleet.store.forget_history();
     publish(&fleet.store, 2, &newer_routes());
-    assert!(serves_new_route(&fleet, SETTLE_WITHIN).await);
+    assert!(serves_new_route(&fleet, WAIT_TIMEOUT).await);
     fleet.store.forget_history();
     publish(&fleet.store, 3, &newer_routes()[..1]);
-    let gone = eventually(SETTLE_WITHIN, || async {
+    let gone = eventually(WAIT_TIMEOUT, || async {
         status_of(&fleet, 0, "/new/a").await == 404
     })
     .await;
@@ -168,7 +168,7 @@
     fleet
         .hosts
         .push(filbert_platform_standin::Host::start(spec).await);
-    let joined = eventually(SETTLE_WITHIN, || async {
+    let joined = eventually(WAIT_TIMEOUT, || async {
         fleet.store.keys(HOSTS).contains(&"late".to_owned())
     })
     .await;
@@ -188,11 +188,11 @@
     fleet.hosts[0].start_daemon();
     let host = &fleet.hosts[0];
     assert!(
-        eventually(SETTLE_WITHIN, || host.is_ready()).await,
+        eventually(WAIT_TIMEOUT, || host.is_ready()).await,
         "{}",
         host.log()
     );
-    let served = eventually(SETTLE_WITHIN, || async {
+    let served = eventually(WAIT_TIMEOUT, || async {
         status_of(&fleet, 0, "/old/a").await == 200
     })
     .await;
@@ -209,7 +209,7 @@
         host.kill();
         host.start_daemon();
     }
-    let up = eventually(SETTLE_WITHIN, || async {
+    let up = eventually(WAIT_TIMEOUT, || async {
         status_of(&fleet, 0, "/old/a").await != 0
     })
     .await;
@@ -217,7 +217,7 @@
     assert_eq!(status_of(&fleet, 0, "/old/a").await, 503);
     assert!(!fleet.hosts[0].is_ready().await);
     fleet.store.set_fault(StoreFault::None);
-    let served = eventually(SETTLE_WITHIN, || async {
+    let served = eventually(WAIT_TIMEOUT, || async {
         status_of(&fleet, 0, "/old/a").await == 200
     })
     .await;
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -224,7 +224,7 @@
     let Told::Ran(answer) = place(&proxy, "kept", "third").await else {
         panic!("the order did not run");
     };
-    let replayed = support::eventually(support::SETTLE_WITHIN, || async {
+    let replayed = support::eventually(support::WAIT_TIMEOUT, || async {
         place(&proxy, "kept", "fourth").await == Told::Ran(answer.clone())
     });
     assert!(replayed.await, "the recorded answer is not replayed");
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -16,7 +16,7 @@
 pub const COOP: &str = include_str!("../../examples/coop.toml");
 /// How long tests wait for what must happen; far beyond what it takes, so
 /// that a slow machine gives the same verdict.
-pub const SETTLE_WITHIN: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub fn coop() -> SettingsTree {
     SettingsTree::from_toml(COOP).expect("example parses")
@@ -34,7 +34,7 @@
 pub async fn mesh_in_force(spec: MeshSpec) -> LocalMesh {
     let mesh = LocalMesh::start(spec).await;
     mesh.publish(1, &coop(), None).await;
-    let settled = mesh.wait_in_force(1, SETTLE_WITHIN).await;
+    let settled = mesh.wait_in_force(1, WAIT_TIMEOUT).await;
     assert!(settled.is_some(), "version 1 not in force");
     mesh
 }
@@ -85,7 +85,7 @@
 pub async fn in_force_on(mesh: &LocalMesh, indices: &[usize], number: u64) -> bool {
     for index in indices {
         let daemon = &mesh.daemons[*index];
-        let applied = eventually(SETTLE_WITHIN, || async {
+        let applied = eventually(WAIT_TIMEOUT, || async {
             status(daemon).await["applied"] == number
         })
         .await;
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -11,7 +11,7 @@
 use nix::sys::signal::Signal;
 
 /// How long tests wait for what must happen; far beyond what it takes.
-pub const SETTLE_WITHIN: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A store and some hosts.
 pub struct Fleet {
@@ -52,13 +52,13 @@
         store,
         hosts: started,
     };
-    fleet.settle().await;
+    fleet.wait_until_ready().await;
     fleet
 }
 
 /// A host of a service that only calls, in zone `a`, and a host of `quotes`
 /// in `zone`.
-pub async fn pair(zone: &str) -> Fleet {
+pub async fn two_host_fleet(zone: &str) -> Fleet {
     let routes = [
         RouteSpec::reads("/read/", "quotes"),
         RouteSpec::orders("/order/", "quotes"),
@@ -79,28 +79,28 @@
     }
 
     /// How often call `id` ran, at all targets together.
-    pub fn runs_of(&self, id: &str) -> usize {
+    pub fn run_count(&self, id: &str) -> usize {
         let runs = |host: &Host| host.target.runs().iter().filter(|run| run.id == id).count();
         self.hosts.iter().map(runs).sum()
     }
 
     /// A call of host 0 that runs at the target of host 1 by now.
-    pub async fn call_under_way(&self, line: &str, id: &str) -> Client {
+    pub async fn start_call(&self, line: &str, id: &str) -> Client {
         let mut client = self.connect(0).await;
         client
             .send(line, &call_headers(id), b"sign")
             .await
             .expect("sent");
         let target = &self.hosts[1].target;
-        assert!(eventually(SETTLE_WITHIN, || async { target.runs().len() == 1 }).await);
+        assert!(eventually(WAIT_TIMEOUT, || async { target.runs().len() == 1 }).await);
         client
     }
 
     /// Waits until every daemon is ready and knows every other's target.
-    pub async fn settle(&self) {
+    pub async fn wait_until_ready(&self) {
         for host in &self.hosts {
             assert!(
-                eventually(SETTLE_WITHIN, || host.is_ready()).await,
+                eventually(WAIT_TIMEOUT, || host.is_ready()).await,
                 "{} is not ready:\n{}",
                 host.spec.name,
                 host.log()
@@ -134,7 +134,7 @@
 
 /// Waits until `host` has logged `text`; whether it did in time.
 pub async fn eventually_logs(host: &Host, text: &str) -> bool {
-    eventually(SETTLE_WITHIN, || async { host.log().contains(text) }).await
+    eventually(WAIT_TIMEOUT, || async { host.log().contains(text) }).await
 }
 
 /// Polls until `check` holds, for at most `within`; whether it did.
