--- a/tests/convergence_faults.rs
+++ b/tests/convergence_faults.rs
@@ -1,6 +1,6 @@
-//! An accepted version comes into force everywhere and never reverts, while
-//! processes, links and the platform fail: one mesh of processes a case, and
-//! the history of every proxy checked at the end.
+//! An accepted version comes into force on every daemon and is never replaced by
+//! an older one, while processes, links and the platform fail. Each case runs a
+//! mesh of processes and checks the version history of every daemon at the end.
 
 mod support;
 
@@ -12,54 +12,56 @@
 use nix::sys::signal::Signal;
 use rstest::rstest;
 use support::{
-    assert_never_backward, coop_with_timeout, eventually, get, in_force_on, leader_of,
-    mesh_in_force, spec, status, DAEMON_EXE, WAIT_TIMEOUT,
+    assert_versions_never_go_back, eventually, example_tree_with_timeout, get, mesh_spec,
+    relay_index, start_mesh_with_example, status, wait_in_force_on, DAEMON_EXE, WAIT_TIMEOUT,
 };
 
-/// A fault on a settled mesh of two zones with four daemons each.
+/// A fault in a mesh of two zones with four daemons each, which all have version 1
+/// in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum MeshFault {
-    /// Every daemon of zone-a is killed at once; they return together.
-    HerdKilled,
-    /// The relay of zone-a is killed and returns only after the change.
+    /// Every daemon of zone-a is killed and restarted at the same time.
+    ZoneKilled,
+    /// The relay of zone-a is killed and restarted only after the change.
     RelayKilled,
-    /// The relay of zone-a is frozen past its lease and then resumed.
+    /// The relay of zone-a is paused (SIGSTOP) for longer than its lease, then resumed.
     RelayFrozen,
-    /// The platform refuses everything, then returns.
+    /// The platform refuses every request, then recovers.
     PlatformDown,
-    /// Each platform answer takes 400 ms.
+    /// Each platform response takes 400 ms.
     PlatformSlow,
-    /// Replies to the next writes are lost after they took effect.
+    /// The next writes to the platform take effect, but their responses are lost.
     RepliesLost,
-    /// Zone-a is cut off from the platform, then joined again.
+    /// Zone-a is cut off from the platform, then reconnected.
     ZoneCut,
-    /// Every connection to the platform goes silent; new ones work.
+    /// Every open connection to the platform goes silent without closing; new
+    /// connections work.
     PlatformSilent,
-    /// Every link between daemons goes silent; new ones work.
+    /// Every open link between daemons goes silent without closing; new links work.
     LinksSilent,
 }
 
-/// What a case expects while its fault lasts.
+/// A fault and the daemons that get a change while it lasts.
 struct FaultCase {
     fault: MeshFault,
-    /// Daemons of zone-a that must get the change during the fault.
-    reached: Reached,
+    /// Daemons of zone-a that must have the change in force during the fault.
+    updated: UpdatedDaemons,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reached {
-    /// All of zone-a.
+enum UpdatedDaemons {
+    /// All daemons of zone-a.
     All,
-    /// All of zone-a but its relay at the start.
-    Others,
-    /// None of zone-a; they keep the version they have.
+    /// All daemons of zone-a except its relay at the start of the fault.
+    AllButRelay,
+    /// None; every daemon of zone-a keeps the previous version.
     None,
 }
 
-async fn begin(mesh: &mut LocalMesh, fault: MeshFault, relay: usize) {
-    let switch = |mesh: &LocalMesh, switches| mesh.platform.store.set_faults(switches);
+async fn inject_fault(mesh: &mut LocalMesh, fault: MeshFault, relay: usize) {
+    let set_faults = |mesh: &LocalMesh, faults| mesh.platform.store.set_faults(faults);
     match fault {
-        MeshFault::HerdKilled => {
+        MeshFault::ZoneKilled => {
             for daemon in mesh
                 .daemons
                 .iter_mut()
@@ -78,21 +80,21 @@
         }
         MeshFault::RelayKilled => mesh.daemons[relay].kill(),
         MeshFault::RelayFrozen => mesh.daemons[relay].signal(Signal::SIGSTOP),
-        MeshFault::PlatformDown => switch(
+        MeshFault::PlatformDown => set_faults(
             mesh,
             InjectedFaults {
                 down: true,
                 ..InjectedFaults::default()
             },
         ),
-        MeshFault::PlatformSlow => switch(
+        MeshFault::PlatformSlow => set_faults(
             mesh,
             InjectedFaults {
                 delay_ms: 400,
                 ..InjectedFaults::default()
             },
         ),
-        MeshFault::RepliesLost => switch(
+        MeshFault::RepliesLost => set_faults(
             mesh,
             InjectedFaults {
                 lose_replies: 12,
@@ -115,7 +117,7 @@
             }
         }
     }
-    // Past the lease, the target expiry and the PING timeout.
+    // Longer than the lease, the target expiry and the PING timeout.
     if matches!(
         fault,
         MeshFault::PlatformDown | MeshFault::ZoneCut | MeshFault::RelayFrozen
@@ -124,7 +126,7 @@
     }
 }
 
-fn end(mesh: &mut LocalMesh, fault: MeshFault, relay: usize) {
+fn clear_fault(mesh: &mut LocalMesh, fault: MeshFault, relay: usize) {
     match fault {
         MeshFault::RelayKilled => mesh.daemons[relay].start(DAEMON_EXE.as_ref()),
         MeshFault::RelayFrozen => mesh.daemons[relay].signal(Signal::SIGCONT),
@@ -132,79 +134,89 @@
             mesh.platform.store.set_faults(InjectedFaults::default());
         }
         MeshFault::ZoneCut => mesh.platform_pipes["zone-a"].set_mode(PipeMode::Pass),
-        MeshFault::HerdKilled | MeshFault::PlatformSilent | MeshFault::LinksSilent => {}
+        MeshFault::ZoneKilled | MeshFault::PlatformSilent | MeshFault::LinksSilent => {}
     }
 }
 
 #[rstest]
-#[case::herd_killed(FaultCase { fault: MeshFault::HerdKilled, reached: Reached::All })]
-#[case::relay_killed(FaultCase { fault: MeshFault::RelayKilled, reached: Reached::Others })]
-#[case::relay_frozen(FaultCase { fault: MeshFault::RelayFrozen, reached: Reached::Others })]
-#[case::platform_down(FaultCase { fault: MeshFault::PlatformDown, reached: Reached::None })]
-#[case::platform_slow(FaultCase { fault: MeshFault::PlatformSlow, reached: Reached::All })]
-#[case::replies_lost(FaultCase { fault: MeshFault::RepliesLost, reached: Reached::All })]
-#[case::zone_cut(FaultCase { fault: MeshFault::ZoneCut, reached: Reached::None })]
-#[case::platform_silent(FaultCase { fault: MeshFault::PlatformSilent, reached: Reached::All })]
-#[case::links_silent(FaultCase { fault: MeshFault::LinksSilent, reached: Reached::All })]
+#[case::herd_killed(FaultCase { fault: MeshFault::ZoneKilled, updated: UpdatedDaemons::All })]
+#[case::relay_killed(FaultCase { fault: MeshFault::RelayKilled, updated: UpdatedDaemons::AllButRelay })]
+#[case::relay_frozen(FaultCase { fault: MeshFault::RelayFrozen, updated: UpdatedDaemons::AllButRelay })]
+#[case::platform_down(FaultCase { fault: MeshFault::PlatformDown, updated: UpdatedDaemons::None })]
+#[case::platform_slow(FaultCase { fault: MeshFault::PlatformSlow, updated: UpdatedDaemons::All })]
+#[case::replies_lost(FaultCase { fault: MeshFault::RepliesLost, updated: UpdatedDaemons::All })]
+#[case::zone_cut(FaultCase { fault: MeshFault::ZoneCut, updated: UpdatedDaemons::None })]
+#[case::platform_silent(FaultCase { fault: MeshFault::PlatformSilent, updated: UpdatedDaemons::All })]
+#[case::links_silent(FaultCase { fault: MeshFault::LinksSilent, updated: UpdatedDaemons::All })]
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn change_holds_everywhere_through_a_fault(#[case] case: FaultCase) {
-    // Something fails in zone-a (or at the platform) and an operator accepts
-    // a change meanwhile. Daemons the change can reach get it during the
-    // fault, the others keep serving what they have; after the fault it is in
-    // force everywhere, and no proxy ever went back, restarts included.
-    let mut mesh = mesh_in_force(spec(&["quoting"]).daemons_per_zone(4).piped()).await;
-    let relay = leader_of(&mesh, "zone-a")
+async fn change_comes_into_force_everywhere_despite_a_fault(#[case] case: FaultCase) {
+    // An operator accepts a change while something in zone-a or at the platform
+    // fails. Daemons that the change can reach have it in force during the fault;
+    // the others keep serving the previous version. After the fault, the change
+    // is in force everywhere, and no daemon has gone back to an older version,
+    // restarts included.
+    let mut mesh =
+        start_mesh_with_example(mesh_spec(&["quoting"]).daemons_per_zone(4).piped()).await;
+    let relay = relay_index(&mesh, "zone-a")
         .await
         .expect("zone-a has a relay");
-    begin(&mut mesh, case.fault, relay).await;
+    inject_fault(&mut mesh, case.fault, relay).await;
     let published = case.fault != MeshFault::PlatformDown;
     if published {
-        mesh.publish(2, &coop_with_timeout(1_900), None).await;
+        mesh.publish(2, &example_tree_with_timeout(1_900), None)
+            .await;
     }
 
     let zone_a = 0..4;
-    let reached: Vec<usize> = match case.reached {
-        Reached::All => zone_a.clone().collect(),
-        Reached::Others => zone_a.clone().filter(|index| *index != relay).collect(),
-        Reached::None => Vec::new(),
+    let updated: Vec<usize> = match case.updated {
+        UpdatedDaemons::All => zone_a.clone().collect(),
+        UpdatedDaemons::AllButRelay => zone_a.clone().filter(|index| *index != relay).collect(),
+        UpdatedDaemons::None => Vec::new(),
     };
-    assert!(in_force_on(&mesh, &reached, 2).await, "not in force during");
-    if case.reached == Reached::None {
+    assert!(
+        wait_in_force_on(&mesh, &updated, 2).await,
+        "version 2 not in force during the fault"
+    );
+    if case.updated == UpdatedDaemons::None {
         for index in zone_a {
             let daemon = &mesh.daemons[index];
             assert_eq!(status(daemon).await["applied"], 1, "{}", daemon.id);
-            let reply = get(&daemon.proxy_url, "north-signs", "/quotes/1").await;
-            assert_eq!(reply.status(), 200, "{} stopped serving", daemon.id);
+            let response = get(&daemon.proxy_url, "north-signs", "/quotes/1").await;
+            assert_eq!(response.status(), 200, "{} stopped serving", daemon.id);
         }
     }
 
-    end(&mut mesh, case.fault, relay);
+    clear_fault(&mut mesh, case.fault, relay);
     if !published {
-        mesh.publish(2, &coop_with_timeout(1_900), None).await;
+        mesh.publish(2, &example_tree_with_timeout(1_900), None)
+            .await;
     }
     let everywhere: Vec<usize> = (0..mesh.daemons.len()).collect();
     assert!(
-        in_force_on(&mesh, &everywhere, 2).await,
-        "not in force after"
+        wait_in_force_on(&mesh, &everywhere, 2).await,
+        "version 2 not in force after the fault"
     );
-    let led = eventually(WAIT_TIMEOUT, || async {
-        leader_of(&mesh, "zone-a").await.is_some()
+    let has_relay = eventually(WAIT_TIMEOUT, || async {
+        relay_index(&mesh, "zone-a").await.is_some()
     });
-    assert!(led.await, "zone-a has no relay");
-    mesh.publish(3, &coop_with_timeout(1_800), None).await;
+    assert!(has_relay.await, "zone-a has no relay");
+    mesh.publish(3, &example_tree_with_timeout(1_800), None)
+        .await;
     assert!(
-        in_force_on(&mesh, &everywhere, 3).await,
-        "the next change is stuck"
+        wait_in_force_on(&mesh, &everywhere, 3).await,
+        "version 3 not in force after the fault"
     );
-    assert_never_backward(&mesh);
+    assert_versions_never_go_back(&mesh);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn herds_return_does_not_flood_the_platform() {
-    // All 24 daemons of two zones die at once and come back together. Once
-    // each has the version again, the platform has served a few reads for
-    // each of them and the relays' polls, not a poll of every daemon.
-    let mut mesh = mesh_in_force(spec(&["quoting"]).daemons_per_zone(12).target_hosts(2)).await;
+async fn restart_of_all_daemons_does_not_flood_the_platform() {
+    // All 24 daemons of two zones are killed and restarted at the same time (a
+    // thundering herd). Until each has the version again, the platform may serve
+    // a few reads for each daemon and the polls of the relays, but not polls of
+    // every daemon.
+    let mut mesh =
+        start_mesh_with_example(mesh_spec(&["quoting"]).daemons_per_zone(12).target_hosts(2)).await;
     let before = mesh.platform.store.stats();
     for daemon in &mut mesh.daemons {
         daemon.signal(Signal::SIGKILL);
@@ -216,15 +228,15 @@
     }
     let everywhere: Vec<usize> = (0..mesh.daemons.len()).collect();
     assert!(
-        in_force_on(&mesh, &everywhere, 1).await,
-        "not back in force"
+        wait_in_force_on(&mesh, &everywhere, 1).await,
+        "version 1 not in force after the restart"
     );
     let reads = mesh.platform.store.stats().since(before).total_reads();
-    // Each relay polls ten times a second; two daemons of a zone may poll
-    // while it has no relay. Each daemon reads the lease a few times and
-    // `current` once.
+    // Each relay polls ten times a second; while a zone has no relay, two of its
+    // daemons may poll. Each daemon reads the lease a few times and `current`
+    // once.
     let polls = started.elapsed().as_millis() / 100 * 2 * 2;
     let allowed = u64::try_from(polls).unwrap_or(u64::MAX) + 24 * 8;
     assert!(reads <= allowed, "{reads} reads, {allowed} allowed");
-    assert_never_backward(&mesh);
+    assert_versions_never_go_back(&mesh);
 }
--- a/tests/end_to_end.rs
+++ b/tests/end_to_end.rs
@@ -1,6 +1,6 @@
-//! The whole path in separate processes: the platform stand-in and targets
-//! in this process, every daemon a `filbertd` process, every operator step a
-//! `filbertctl` process.
+//! End-to-end tests in separate processes: the platform stand-in and the targets
+//! run in the test process, every daemon is a `filbertd` process, and every step
+//! of an operator is a `filbertctl` process.
 
 mod support;
 
@@ -13,14 +13,15 @@
 use filbert_standin::target::TargetMode;
 use support::{get, CTL_EXE, DAEMON_EXE};
 
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(10);
+/// Longest wait for a version to come into force on every daemon.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Runs `filbertctl` against the mesh and returns its exit code and output.
-fn ctl(mesh: &LocalMesh, words: &[&str]) -> (i32, String) {
+fn ctl(mesh: &LocalMesh, args: &[&str]) -> (i32, String) {
     let output = Command::new(CTL_EXE)
         .arg("--platform")
         .arg(&mesh.platform.url)
-        .args(words)
+        .args(args)
         .output()
         .expect("filbertctl runs");
     let text = format!(
@@ -31,7 +32,8 @@
     (output.status.code().unwrap_or(-1), text)
 }
 
-fn example(name: &str) -> String {
+/// Path of a file in `examples/`.
+fn example_path(name: &str) -> String {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("examples")
         .join(name)
@@ -39,21 +41,21 @@
         .into_owned()
 }
 
-/// Calls through every daemon of both zones reach a target of the right
-/// service in the daemon's own zone, each caller gets its own answer, and one
-/// member never reaches another member's routes.
-async fn calls_stay_in_their_zone_and_member(mesh: &LocalMesh) {
+/// Calls through every daemon reach a target of the right service in the daemon's
+/// own zone, each caller gets the response to its own call, and no member reaches
+/// another member's routes.
+async fn check_calls_stay_in_zone_and_member(mesh: &LocalMesh) {
     for (index, daemon) in mesh.daemons.iter().enumerate() {
-        let reply = get(
+        let response = get(
             &daemon.proxy_url,
             "north-signs",
             &format!("/quotes/{index}"),
         )
         .await;
-        assert_eq!(reply.status(), 200);
-        let answer: serde_json::Value = reply.json().await.expect("a JSON answer");
-        assert_eq!(answer["service"], "quoting");
-        assert_eq!(answer["path"], format!("/quotes/{index}"));
+        assert_eq!(response.status(), 200);
+        let body: serde_json::Value = response.json().await.expect("a JSON response");
+        assert_eq!(body["service"], "quoting");
+        assert_eq!(body["path"], format!("/quotes/{index}"));
         let zone_targets: Vec<&str> = mesh
             .daemons
             .iter()
@@ -61,7 +63,7 @@
             .filter(|(other, _)| other.zone == daemon.zone)
             .flat_map(|(_, targets)| targets.iter().map(|target| target.address.as_str()))
             .collect();
-        let chosen = answer["target"].as_str().unwrap_or_default();
+        let chosen = body["target"].as_str().unwrap_or_default();
         assert!(
             zone_targets.contains(&chosen),
             "{chosen} is not in {}",
@@ -69,23 +71,22 @@
         );
     }
 
-    // One member never reaches another member's routes.
-    let reply = get(&mesh.daemons[0].proxy_url, "harbour-signs", "/stock/7").await;
-    assert_eq!(reply.status(), 404);
+    let response = get(&mesh.daemons[0].proxy_url, "harbour-signs", "/stock/7").await;
+    assert_eq!(response.status(), 404);
 }
 
-/// Each order placement sent through the proxies runs exactly once.
-async fn orders_run_once(mesh: &LocalMesh) {
+/// Each order sent through the proxies runs exactly once.
+async fn check_orders_run_once(mesh: &LocalMesh) {
     let http = reqwest::Client::new();
     for (index, daemon) in mesh.daemons.iter().enumerate() {
-        let reply = http
+        let response = http
             .post(format!("{}/orders", daemon.proxy_url))
             .header("x-filbert-member", "north-signs")
             .body(format!("order {index}"))
             .send()
             .await
-            .expect("the proxy answers");
-        assert_eq!(reply.status(), 200);
+            .expect("the proxy responds");
+        assert_eq!(response.status(), 200);
     }
     let mut bodies: Vec<String> = mesh
         .executions
@@ -104,19 +105,20 @@
         &["quoting", "artwork"],
     ))
     .await;
-    let (code, text) = ctl(&mesh, &["edit", "--file", &example("coop.toml")]);
+    let (code, text) = ctl(&mesh, &["edit", "--file", &example_path("coop.toml")]);
     assert_eq!(code, 0, "{text}");
     let (code, text) = ctl(&mesh, &["accept"]);
     assert_eq!((code, text.trim()), (0, "accepted version 1"));
     assert!(
-        mesh.wait_in_force(1, IN_FORCE_WITHIN).await.is_some(),
+        mesh.wait_in_force(1, IN_FORCE_TIMEOUT).await.is_some(),
         "version 1 not in force"
     );
 
-    calls_stay_in_their_zone_and_member(&mesh).await;
-    orders_run_once(&mesh).await;
+    check_calls_stay_in_zone_and_member(&mesh).await;
+    check_orders_run_once(&mesh).await;
 
-    // An edit, accepted against the version it was made on, comes into force everywhere.
+    // An edit that is accepted with `--expect` and its base version comes into force
+    // everywhere.
     let (code, text) = ctl(
         &mesh,
         &[
@@ -137,18 +139,18 @@
     let (code, text) = ctl(&mesh, &["watch", "--timeout", "10"]);
     assert_eq!(code, 0, "{text}");
     assert!(
-        mesh.wait_in_force(2, IN_FORCE_WITHIN).await.is_some(),
+        mesh.wait_in_force(2, IN_FORCE_TIMEOUT).await.is_some(),
         "version 2 not in force"
     );
 
-    // Withdrawal is a new, higher version with the older content.
+    // A withdrawal creates a new version with the content of the version before.
     let (code, text) = ctl(&mesh, &["withdraw", "--expect", "2"]);
     assert_eq!(
         (code, text.trim()),
         (0, "withdrew version 2: version 3 restores version 1")
     );
     assert!(
-        mesh.wait_in_force(3, IN_FORCE_WITHIN).await.is_some(),
+        mesh.wait_in_force(3, IN_FORCE_TIMEOUT).await.is_some(),
         "version 3 not in force"
     );
     let (_, shown) = ctl(
@@ -156,20 +158,21 @@
         &["show", "site/north-signs/quoting/quotes", "--resolved"],
     );
     assert!(shown.contains("timeout_ms = 1500"), "{shown}");
-    // What operators read follows what is in force; `watch` waits for it.
+    // The statuses that operators read lag behind the version in force; `watch` waits
+    // until they show it.
     let (code, text) = ctl(&mesh, &["watch", "3", "--timeout", "10"]);
     assert_eq!(code, 0, "{text}");
     assert_eq!(mesh.statuses().await.len(), mesh.daemons.len());
     for status in mesh.statuses().await {
         assert_eq!(status.applied, 3, "{} did not apply version 3", status.id);
     }
-    read_as_json(&mesh);
+    check_json_output(&mesh);
 }
 
-/// Programs read what operators read: the fleet and a branch, as JSON.
-fn read_as_json(mesh: &LocalMesh) {
-    let read = |words: &[&str]| -> serde_json::Value {
-        let (code, text) = ctl(mesh, words);
+/// `status` and `show` print the fleet, a branch and the whole tree as JSON.
+fn check_json_output(mesh: &LocalMesh) {
+    let read = |args: &[&str]| -> serde_json::Value {
+        let (code, text) = ctl(mesh, args);
         assert_eq!(code, 0, "{text}");
         serde_json::from_str(&text).expect("JSON")
     };
@@ -187,10 +190,11 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn burn_report_counts_the_calls_of_running_daemons() {
-    // An operator samples the daemons' counters before and after ten quotes,
-    // two of which failed at their target, and reads the report: a fifth of
-    // the calls is 20 times the budget of a 99% objective.
-    let mesh = support::mesh_in_force(support::spec(&["quoting"]).zones(&["zone-a"])).await;
+    // The daemons' call counters are sampled before and after ten quotes, two of
+    // which fail at their target. A failure rate of a fifth is 20 times the error
+    // budget of a 99% objective.
+    let mesh =
+        support::start_mesh_with_example(support::mesh_spec(&["quoting"]).zones(&["zone-a"])).await;
     let samples = mesh.dir.join("calls.jsonl").to_string_lossy().into_owned();
     let plot = mesh.dir.join("burn.svg");
     let urls: Vec<&str> = mesh
@@ -206,7 +210,7 @@
     get(proxy, "north-signs", "/quotes/before").await;
     let (code, text) = ctl(&mesh, &sample);
     assert_eq!((code, text.trim()), (0, "2 of 2 daemons sampled"));
-    // Samples are a second apart at least: their times are whole seconds.
+    // Sample times are whole seconds, so samples must be at least a second apart.
     tokio::time::sleep(Duration::from_millis(1_100)).await;
     for call in 0..10 {
         let mode = if call < 2 {
@@ -247,14 +251,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn invalid_edit_is_refused_with_its_reason_and_nothing_changes() {
-    // An operator points a route at a service its member lacks. filbertctl
-    // must refuse with the reason and exit 2, and the pending tree and the
-    // version in force stay as they were.
+async fn invalid_edit_is_rejected_with_its_reason_and_nothing_changes() {
+    // An operator points a route at a service that its member lacks, then sets an
+    // invalid timeout. filbertctl must reject both with the reason and exit code
+    // 2, and leave the pending tree and the version in force unchanged.
     let mesh =
         LocalMesh::start(MeshSpec::new(Path::new(DAEMON_EXE), &["quoting"]).daemons_per_zone(1))
             .await;
-    assert_eq!(ctl(&mesh, &["edit", "--file", &example("coop.toml")]).0, 0);
+    assert_eq!(
+        ctl(&mesh, &["edit", "--file", &example_path("coop.toml")]).0,
+        0
+    );
     assert_eq!(ctl(&mesh, &["accept"]).0, 0);
     let (code, text) = ctl(
         &mesh,
@@ -278,14 +285,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn racing_operators_get_one_accept_and_one_clear_refusal() {
-    // Two operators accept on top of the same version at the same moment.
-    // Exactly one gets the new number; the other is told someone else won
-    // and that nothing changed, and versions never skip or repeat.
+async fn concurrent_accepts_yield_one_version_and_one_rejection() {
+    // Two operators accept on top of the same version at the same time. Exactly
+    // one gets the new version number; the other is told of the conflict and
+    // changes nothing. Version numbers must neither skip nor repeat.
     let mesh =
         LocalMesh::start(MeshSpec::new(Path::new(DAEMON_EXE), &["quoting"]).daemons_per_zone(1))
             .await;
-    assert_eq!(ctl(&mesh, &["edit", "--file", &example("coop.toml")]).0, 0);
+    assert_eq!(
+        ctl(&mesh, &["edit", "--file", &example_path("coop.toml")]).0,
+        0
+    );
     assert_eq!(ctl(&mesh, &["accept"]).0, 0);
     assert_eq!(ctl(&mesh, &["set", "site", "retries", "2"]).0, 0);
     let url = mesh.platform.url.clone();
@@ -311,11 +321,11 @@
     let mut sorted = codes.clone();
     sorted.sort_unstable();
     assert_eq!(sorted, [0, 1], "{outputs:?}");
-    let loser = &outputs[codes.iter().position(|code| *code == 1).unwrap_or(0)];
-    let said = String::from_utf8_lossy(&loser.stderr);
+    let rejected = &outputs[codes.iter().position(|code| *code == 1).unwrap_or(0)];
+    let stderr = String::from_utf8_lossy(&rejected.stderr);
     assert!(
-        said.contains("accepted by another operator") || said.contains("is in force, not 1"),
-        "{said}"
+        stderr.contains("accepted by another operator") || stderr.contains("is in force, not 1"),
+        "{stderr}"
     );
     let (_, shown) = ctl(&mesh, &["show"]);
     assert!(shown.starts_with("# version 2"), "{shown}");
@@ -323,8 +333,8 @@
 
 #[test]
 fn daemon_with_malformed_settings_names_file_line_and_key_and_exits_2() {
-    // An operator mistypes a key in a daemon's settings. The daemon must not
-    // start: it prints the file, the line and the key, and exits with 2.
+    // With a mistyped key in its settings, a daemon must not start: it prints the
+    // file, the line and the key, and exits with code 2.
     let dir = std::env::temp_dir().join(format!("filbert-bad-settings-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("temp dir");
     let path = dir.join("bad.toml");
@@ -338,10 +348,10 @@
         .arg(&path)
         .output()
         .expect("filbertd runs");
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert_eq!(output.status.code(), Some(2), "{said}");
-    assert!(said.contains("bad.toml"), "{said}");
-    assert!(said.contains("line 5"), "{said}");
-    assert!(said.contains("platfrom"), "{said}");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(output.status.code(), Some(2), "{stderr}");
+    assert!(stderr.contains("bad.toml"), "{stderr}");
+    assert!(stderr.contains("line 5"), "{stderr}");
+    assert!(stderr.contains("platfrom"), "{stderr}");
     let _ = std::fs::remove_dir_all(&dir);
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -1,6 +1,6 @@
-//! Failures of the thin path, each brought about in separate processes: the
-//! platform going down, a bad version reaching the daemons, a target
-//! leaving, a planned stop with calls in flight.
+//! Failures of a mesh of separate processes: the platform goes down, an invalid
+//! version reaches the daemons, a target leaves, and a daemon is stopped with
+//! calls in flight.
 
 mod support;
 
@@ -13,17 +13,18 @@
 use filbert_standin::target::{TargetHandle, TargetSpec};
 use filbert_store::InjectedFaults;
 use filbert_tree::BranchPath;
-use support::{coop, eventually, get, status, DAEMON_EXE};
+use support::{eventually, example_tree, get, status, DAEMON_EXE};
 
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(10);
+/// Longest wait for a version to come into force on every daemon.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn zone_cut_off_from_the_platform_keeps_serving_its_other_hosts_targets() {
-    // An installer fetches artwork through the daemon on a host that has no
-    // artwork target of its own; the zone's only one is on another host. The
-    // platform then goes down for longer than the target expiry. The daemon
-    // must keep sending artwork calls to that target, which is still up,
-    // and say in its status that the platform is unreachable.
+async fn zone_keeps_calling_targets_on_other_hosts_while_the_platform_is_down() {
+    // Artwork is called through the daemon of a host without an artwork target;
+    // the zone's only one is on another host. The platform then goes down for
+    // longer than the target expiry. The daemon must keep sending artwork calls
+    // to the target, which is still up, and report in its status that the
+    // platform is unreachable.
     let mesh =
         LocalMesh::start(MeshSpec::new(Path::new(DAEMON_EXE), &["quoting"]).zones(&["zone-a"]))
             .await;
@@ -33,10 +34,10 @@
         delay: Duration::ZERO,
     };
     let _artwork = TargetHandle::start(&artwork, Arc::clone(&mesh.executions)).await;
-    mesh.publish(1, &coop(), None).await;
-    assert!(mesh.wait_in_force(1, IN_FORCE_WITHIN).await.is_some());
+    mesh.publish(1, &example_tree(), None).await;
+    assert!(mesh.wait_in_force(1, IN_FORCE_TIMEOUT).await.is_some());
     let proxy = mesh.daemons[0].proxy_url.clone();
-    let reachable = eventually(IN_FORCE_WITHIN, || async {
+    let reachable = eventually(IN_FORCE_TIMEOUT, || async {
         get(&proxy, "north-signs", "/artwork/1").await.status() == 200
     })
     .await;
@@ -46,13 +47,13 @@
         down: true,
         ..InjectedFaults::default()
     });
-    // Past the mesh's 2 s target expiry.
+    // Longer than the mesh's target expiry of 2 s.
     tokio::time::sleep(Duration::from_millis(2_600)).await;
-    let reply = get(&proxy, "north-signs", "/artwork/1").await;
+    let response = get(&proxy, "north-signs", "/artwork/1").await;
     assert_eq!(
-        reply.status(),
+        response.status(),
         200,
-        "artwork lost while the platform is down"
+        "artwork target lost while the platform is down"
     );
     let shown = status(&mesh.daemons[0]).await;
     assert_eq!(shown["platform_reachable"], false, "{shown}");
@@ -60,30 +61,31 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn bad_version_reaching_the_daemons_is_rejected_whole() {
-    // A version whose route names a service the member lacks reaches the
-    // daemons without passing filbertctl. Every daemon must refuse it whole:
-    // the previous version's routes keep working, its status names the
-    // refused version, and a counter records it.
+async fn invalid_version_that_reaches_the_daemons_is_rejected_whole() {
+    // A version with a route to a service that the member lacks reaches the
+    // daemons without filbertctl's checks. Every daemon must reject the whole
+    // version: the previous version's routes keep working, the daemon's status
+    // names the rejected version, and a counter records the rejection.
     let mesh = LocalMesh::start(MeshSpec::new(
         Path::new(DAEMON_EXE),
         &["quoting", "artwork"],
     ))
     .await;
-    mesh.publish(1, &coop(), None).await;
-    assert!(mesh.wait_in_force(1, IN_FORCE_WITHIN).await.is_some());
-    let mut bad = coop();
+    mesh.publish(1, &example_tree(), None).await;
+    assert!(mesh.wait_in_force(1, IN_FORCE_TIMEOUT).await.is_some());
+    let mut invalid = example_tree();
     let stock = BranchPath::parse("site/north-signs/artwork/stock").expect("branch");
-    bad.set(&stock, "service", "ghost").expect("edit");
-    bad.set(&BranchPath::Site, "timeout_ms", "100")
+    invalid.set(&stock, "service", "ghost").expect("edit");
+    invalid
+        .set(&BranchPath::Site, "timeout_ms", "100")
         .expect("edit");
-    mesh.publish(2, &bad, None).await;
+    mesh.publish(2, &invalid, None).await;
     for daemon in &mesh.daemons {
-        let refused = eventually(IN_FORCE_WITHIN, || async {
+        let is_rejected = eventually(IN_FORCE_TIMEOUT, || async {
             status(daemon).await["rejected"][0] == 2
         })
         .await;
-        assert!(refused, "{} did not refuse version 2", daemon.id);
+        assert!(is_rejected, "{} did not reject version 2", daemon.id);
         let shown = status(daemon).await;
         assert_eq!(shown["applied"], 1, "{shown}");
         assert_eq!(
@@ -92,34 +94,34 @@
                 .status(),
             200
         );
-        let rejected = daemon.counter("versions_rejected").await;
-        assert_eq!(rejected, 1, "{}", daemon.id);
+        let rejections = daemon.counter("versions_rejected").await;
+        assert_eq!(rejections, 1, "{}", daemon.id);
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn leaving_target_gets_no_new_work_within_two_seconds() {
-    // A quoting target announces that it is leaving. Within two seconds no
-    // daemon of its zone may send it a new call; calls keep being answered by
-    // the zone's other quoting targets.
+async fn leaving_target_gets_no_new_calls_after_two_seconds() {
+    // A quoting target announces that it is leaving. Two seconds later, no daemon
+    // of its zone may send it a new call any more, and the zone's other quoting
+    // targets must still serve calls.
     let mesh =
         LocalMesh::start(MeshSpec::new(Path::new(DAEMON_EXE), &["quoting"]).zones(&["zone-a"]))
             .await;
-    mesh.publish(1, &coop(), None).await;
-    assert!(mesh.wait_in_force(1, IN_FORCE_WITHIN).await.is_some());
+    mesh.publish(1, &example_tree(), None).await;
+    assert!(mesh.wait_in_force(1, IN_FORCE_TIMEOUT).await.is_some());
     let leaving = &mesh.targets[0];
     leaving.leave();
     tokio::time::sleep(Duration::from_secs(2)).await;
     for round in 0..20 {
         for daemon in &mesh.daemons {
-            let reply = get(
+            let response = get(
                 &daemon.proxy_url,
                 "north-signs",
                 &format!("/quotes/{round}"),
             )
             .await;
-            assert_eq!(reply.status(), 200);
-            let chosen = reply
+            assert_eq!(response.status(), 200);
+            let chosen = response
                 .headers()
                 .get("x-filbert-target")
                 .and_then(|value| value.to_str().ok())
@@ -127,7 +129,7 @@
                 .to_owned();
             assert_ne!(
                 chosen, leaving.address,
-                "{} sent new work to a leaving target",
+                "{} sent a new call to a leaving target",
                 daemon.id
             );
         }
@@ -136,24 +138,23 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn planned_stop_lets_calls_in_flight_finish() {
-    // An operator stops a daemon (SIGTERM) while a slow call is in flight
-    // through it. The caller must still get the whole answer; the daemon
-    // then exits.
+    // A daemon is stopped (SIGTERM) while a slow call is in flight through it. The
+    // caller must still get the whole response, and the daemon must then exit.
     let spec = MeshSpec::new(Path::new(DAEMON_EXE), &["quoting"])
         .zones(&["zone-a"])
         .daemons_per_zone(1)
         .target_delay(Duration::from_millis(800));
     let mut mesh = LocalMesh::start(spec).await;
-    mesh.publish(1, &coop(), None).await;
-    assert!(mesh.wait_in_force(1, IN_FORCE_WITHIN).await.is_some());
+    mesh.publish(1, &example_tree(), None).await;
+    assert!(mesh.wait_in_force(1, IN_FORCE_TIMEOUT).await.is_some());
     let proxy = mesh.daemons[0].proxy_url.clone();
     let call = tokio::spawn(async move { get(&proxy, "north-signs", "/quotes/9").await });
     tokio::time::sleep(Duration::from_millis(200)).await;
     let stopped =
         tokio::task::block_in_place(|| mesh.daemons[0].terminate(Duration::from_secs(10)));
-    let reply = call.await.expect("the call task ends");
-    assert_eq!(reply.status(), 200);
-    let answer: serde_json::Value = reply.json().await.expect("the whole answer");
-    assert_eq!(answer["path"], "/quotes/9");
+    let response = call.await.expect("the call task ends");
+    assert_eq!(response.status(), 200);
+    let body: serde_json::Value = response.json().await.expect("the whole response");
+    assert_eq!(body["path"], "/quotes/9");
     assert!(stopped, "the daemon did not exit after SIGTERM");
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Helpers of the tests that run the daemons as processes.
+//! Helpers for tests that run a local mesh of daemon processes.
 
-#![allow(dead_code)] // Each test binary uses its own part of these.
+#![allow(dead_code)] // Each test binary uses only some of the helpers.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -13,66 +13,73 @@
 
 pub const DAEMON_EXE: &str = env!("CARGO_BIN_EXE_filbertd");
 pub const CTL_EXE: &str = env!("CARGO_BIN_EXE_filbertctl");
-pub const COOP: &str = include_str!("../../examples/coop.toml");
-/// How long tests wait for what must happen; far beyond what it takes, so
-/// that a slow machine gives the same verdict.
+pub const EXAMPLE_TREE_TOML: &str = include_str!("../../examples/coop.toml");
+/// Longest wait for an expected event; far above the usual time, so that a slow
+/// machine doesn't fail a test.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-pub fn coop() -> SettingsTree {
-    SettingsTree::from_toml(COOP).expect("example parses")
+/// The settings tree of `examples/coop.toml`.
+pub fn example_tree() -> SettingsTree {
+    SettingsTree::from_toml(EXAMPLE_TREE_TOML).expect("example parses")
 }
 
-/// The example tree with the site's timeout changed, as a later version.
-pub fn coop_with_timeout(timeout_ms: u64) -> SettingsTree {
-    let mut tree = coop();
+/// The example tree with another timeout of the site, to be published as a later
+/// version.
+pub fn example_tree_with_timeout(timeout_ms: u64) -> SettingsTree {
+    let mut tree = example_tree();
     tree.set(&BranchPath::Site, "timeout_ms", &timeout_ms.to_string())
         .expect("an edit");
     tree
 }
 
-/// Starts a mesh and puts the example tree in force on it as version 1.
-pub async fn mesh_in_force(spec: MeshSpec) -> LocalMesh {
+/// Starts a mesh, publishes the example tree as version 1 and waits until every
+/// daemon has it in force.
+pub async fn start_mesh_with_example(spec: MeshSpec) -> LocalMesh {
     let mesh = LocalMesh::start(spec).await;
-    mesh.publish(1, &coop(), None).await;
-    let settled = mesh.wait_in_force(1, WAIT_TIMEOUT).await;
-    assert!(settled.is_some(), "version 1 not in force");
+    mesh.publish(1, &example_tree(), None).await;
+    let applied = mesh.wait_in_force(1, WAIT_TIMEOUT).await;
+    assert!(applied.is_some(), "version 1 not in force");
     mesh
 }
 
-pub fn spec(services: &[&str]) -> MeshSpec {
+/// A mesh of the tested `filbertd` binary with targets of `services`.
+pub fn mesh_spec(services: &[&str]) -> MeshSpec {
     MeshSpec::new(Path::new(DAEMON_EXE), services)
 }
 
+/// Calls `path` through a daemon's proxy as `member`.
 pub async fn get(daemon_url: &str, member: &str, path: &str) -> reqwest::Response {
     reqwest::Client::new()
         .get(format!("{daemon_url}{path}"))
         .header("x-filbert-member", member)
         .send()
         .await
-        .expect("the proxy answers")
+        .expect("the proxy responds")
 }
 
-/// A daemon's status, or null when it does not answer.
+/// A daemon's status, or `Value::Null` when the daemon sends no valid status
+/// within 500 ms.
 pub async fn status(daemon: &DaemonProcess) -> serde_json::Value {
-    let asked = reqwest::Client::new()
+    let response = reqwest::Client::new()
         .get(format!("{}/status", daemon.admin_url))
         .timeout(Duration::from_millis(500))
         .send()
         .await;
-    match asked {
-        Ok(reply) => reply.json().await.unwrap_or_default(),
+    match response {
+        Ok(response) => response.json().await.unwrap_or_default(),
         Err(_) => serde_json::Value::Null,
     }
 }
 
-/// Polls until `check` holds, for at most `within`; returns whether it did.
-pub async fn eventually<F, Fut>(within: Duration, mut check: F) -> bool
+/// Polls `check` every 20 ms until it returns true, for at most `timeout`;
+/// returns whether it did.
+pub async fn eventually<F, Fut>(timeout: Duration, mut check: F) -> bool
 where
     F: FnMut() -> Fut,
     Fut: std::future::Future<Output = bool>,
 {
     let started = Instant::now();
-    while started.elapsed() < within {
+    while started.elapsed() < timeout {
         if check().await {
             return true;
         }
@@ -81,8 +88,10 @@
     false
 }
 
-/// Waits until the daemons at `indices` all have `number` in force.
-pub async fn in_force_on(mesh: &LocalMesh, indices: &[usize], number: u64) -> bool {
+/// Waits until the daemons at `indices` all have version `number` in force.
+/// Returns false when one of them doesn't within [`WAIT_TIMEOUT`], after printing
+/// the logs of its zone.
+pub async fn wait_in_force_on(mesh: &LocalMesh, indices: &[usize], number: u64) -> bool {
     for index in indices {
         let daemon = &mesh.daemons[*index];
         let applied = eventually(WAIT_TIMEOUT, || async {
@@ -90,7 +99,7 @@
         })
         .await;
         if !applied {
-            eprintln!("{} stays behind", daemon.id);
+            eprintln!("{} did not apply version {number}", daemon.id);
             for daemon in mesh
                 .daemons
                 .iter()
@@ -105,8 +114,9 @@
     true
 }
 
-/// The daemon that holds the lease of `zone`, by its place in the mesh.
-pub async fn leader_of(mesh: &LocalMesh, zone: &str) -> Option<usize> {
+/// Index of the daemon that is the relay of `zone` (holds its lease), or `None`
+/// while there is none.
+pub async fn relay_index(mesh: &LocalMesh, zone: &str) -> Option<usize> {
     for (index, daemon) in mesh.daemons.iter().enumerate() {
         if daemon.zone == zone && status(daemon).await["role"] == "leader" {
             return Some(index);
@@ -115,17 +125,21 @@
     None
 }
 
-/// Checks the history of applied versions of every daemon so far.
-pub fn assert_never_backward(mesh: &LocalMesh) {
+/// Asserts that no daemon has applied an older version after a newer one so far.
+pub fn assert_versions_never_go_back(mesh: &LocalMesh) {
     let history = applied_history(mesh);
     assert!(!history.is_empty(), "no history recorded");
-    assert_eq!(backward_moves(&history), [], "a proxy moved back");
+    assert_eq!(
+        backward_moves(&history),
+        [],
+        "a daemon applied an older version"
+    );
 }
 
-/// How many targets of `service` a daemon knows in its zone.
-pub async fn targets_known(daemon: &DaemonProcess, service: &str) -> u64 {
+/// Number of targets of `service` that a daemon knows in its zone.
+pub async fn known_target_count(daemon: &DaemonProcess, service: &str) -> u64 {
     let url = format!("{}/status", daemon.admin_url);
-    let reply = reqwest::get(url).await.expect("the daemon answers");
-    let status: serde_json::Value = reply.json().await.expect("a status is JSON");
+    let response = reqwest::get(url).await.expect("the daemon responds");
+    let status: serde_json::Value = response.json().await.expect("a status is JSON");
     status["targets"][service].as_u64().unwrap_or(0)
 }
