--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -1,5 +1,5 @@
-//! The settings reference in `docs/RUNNING.md`, checked against the settings
-//! the daemon reads.
+//! Checks the settings reference in `docs/RUNNING.md`, the example settings and
+//! the platform's settings template against the settings that the daemons read.
 
 use std::collections::BTreeMap;
 
@@ -7,8 +7,8 @@
 
 const REFERENCE: &str = include_str!("../docs/RUNNING.md");
 const EXAMPLE: &str = include_str!("../examples/daemon.toml");
-/// Keys without a default.
-const REQUIRED: [&str; 6] = [
+/// Required keys, which have no default.
+const REQUIRED_KEYS: [&str; 6] = [
     "id",
     "zone",
     "proxy_listen",
@@ -17,7 +17,7 @@
     "platform",
 ];
 
-/// Every key of the settings, dotted, with its value as text.
+/// Adds every key below `prefix` to `keys`, dotted, with its value as text.
 fn flatten(prefix: &str, value: &serde_json::Value, keys: &mut BTreeMap<String, String>) {
     if let serde_json::Value::Object(table) = value {
         for (key, value) in table {
@@ -35,7 +35,7 @@
     }
 }
 
-/// The rows of the reference: key and default.
+/// Every key that the reference lists, with its default.
 fn reference_rows() -> BTreeMap<String, String> {
     REFERENCE
         .lines()
@@ -48,6 +48,8 @@
         .collect()
 }
 
+/// Every key that the daemon reads, with its default or, for a required key, the
+/// value in the example.
 fn defaults() -> BTreeMap<String, String> {
     // The keys before the first table are the required ones.
     let required = EXAMPLE.split("\n[").next().unwrap_or_default();
@@ -65,7 +67,7 @@
         let shown = rows.get(&key);
         assert!(shown.is_some(), "`{key}` is missing from docs/RUNNING.md");
         let expected = match key.as_str() {
-            key if REQUIRED.contains(&key) => "required",
+            key if REQUIRED_KEYS.contains(&key) => "required",
             "relay_advertise" => "relay_listen",
             _ => default.as_str(),
         };
@@ -86,11 +88,10 @@
     DaemonSettings::parse(EXAMPLE).expect("examples/daemon.toml parses");
 }
 
-/// The keys of the mesh table in the reference and those that the platform's
-/// template fills in: every one that the template names must be listed, and
-/// the template must give what the daemon reads.
+/// Every key in the platform's settings template must be listed in the reference
+/// as a mesh setting, and the daemon must be able to read a filled-in template.
 #[test]
-fn the_platforms_template_matches_the_reference_and_the_daemon() {
+fn platform_template_matches_the_reference_and_the_daemon() {
     const TEMPLATE: &str = include_str!("../platform/settings.toml.in");
     let mut table = String::new();
     let mut filled = String::new();
@@ -122,22 +123,22 @@
     filbert_mesh::MeshSettings::parse(&filled).expect("the daemon reads the template");
 }
 
-/// A settings file of the mesh daemon with one fault, and what the message
-/// must name.
+/// Reads mesh settings with one invalid line. The error message must contain the
+/// faulty key or value.
 #[rstest::rstest]
 #[case("ratio = 0.2", "ratio = 2.0", "retry.ratio")]
 #[case("grace = \"6s\"", "grace = \"6\"", "`6` is no time")]
 #[case("zone = \"a\"", "zone = \"\"", "key `zone`")]
 #[case("zone = \"a\"", "zon = \"a\"", "zon")]
-fn a_faulty_mesh_settings_file_names_the_key(
+fn mesh_settings_error_names_the_faulty_key_or_value(
     #[case] from: &str,
     #[case] to: &str,
-    #[case] names: &str,
+    #[case] expected: &str,
 ) {
     let text = "id = \"h\"\nzone = \"a\"\nservice = \"s\"\ntarget = \"127.0.0.1:1\"\nstore = \"127.0.0.1:2\"\n[listen]\ncalls = \"127.0.0.1:3\"\npeers = \"127.0.0.1:4\"\nready = \"127.0.0.1:5\"\ncontrol = \"127.0.0.1:6\"\n[times]\nreport_every = \"1s\"\ndrain = \"2s\"\ngrace = \"6s\"\n[retry]\nratio = 0.2\nslack = 60\nwindow = \"10s\"\n";
-    filbert_mesh::MeshSettings::parse(text).expect("the whole file parses");
+    filbert_mesh::MeshSettings::parse(text).expect("the valid settings parse");
     let faulty = text.replace(from, to);
-    let report = filbert_mesh::MeshSettings::parse(&faulty).expect_err("a fault");
+    let report = filbert_mesh::MeshSettings::parse(&faulty).expect_err("the settings are invalid");
     let message = format!("{report:?}");
-    assert!(message.contains(names), "{names} is not in {message}");
+    assert!(message.contains(expected), "{expected} is not in {message}");
 }
--- a/tests/messages_for_people.rs
+++ b/tests/messages_for_people.rs
@@ -1,10 +1,10 @@
-//! What a person reads when a command or a settings file is wrong.
+//! Error messages of `filbertd` and `filbertctl` for users, and shell completions.
 
 use std::process::Command;
 
 use rstest::rstest;
 
-/// A settings text, and the parts that the message must have.
+/// The text of an invalid settings file, and what the error message must contain.
 struct MessageCase {
     text: &'static str,
     parts: &'static [&'static str],
@@ -16,20 +16,20 @@
 #[case(MessageCase { text: "[times]\ngrace = \"soon\"\n", parts: &["line 2", "`soon` is no time"] })]
 #[case(MessageCase { text: "id = \"h", parts: &["settings file invalid", "line 1"] })]
 #[case(MessageCase { text: "zöne = 1\n", parts: &["settings file invalid", "line 1"] })]
-fn a_bad_settings_file_is_named_in_a_line(#[case] case: MessageCase) {
+fn invalid_settings_are_reported_with_their_line(#[case] case: MessageCase) {
     let folder = std::env::temp_dir().join(format!(
         "filbert-messages-{}-{}",
         std::process::id(),
         case.text.len()
     ));
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("a temporary folder");
     let path = folder.join("settings.toml");
     std::fs::write(&path, case.text).expect("written");
     let output = Command::new(env!("CARGO_BIN_EXE_filbertd"))
         .args(["mesh", "--check", "--settings"])
         .arg(&path)
         .output()
-        .expect("it runs");
+        .expect("filbertd runs");
     std::fs::remove_dir_all(&folder).expect("removed");
     assert_eq!(output.status.code(), Some(2));
     let message = String::from_utf8_lossy(&output.stderr);
@@ -43,11 +43,11 @@
 }
 
 #[test]
-fn a_missing_file_and_an_unknown_call_are_told_plainly() {
+fn missing_log_file_is_reported_with_its_cause() {
     let output = Command::new(env!("CARGO_BIN_EXE_filbertctl"))
         .args(["explain", "some-id", "/nowhere/at/all"])
         .output()
-        .expect("it runs");
+        .expect("filbertctl runs");
     assert_eq!(output.status.code(), Some(2));
     let message = String::from_utf8_lossy(&output.stderr);
     assert!(
@@ -62,21 +62,22 @@
 #[case("bash", "complete -F")]
 #[case("zsh", "#compdef filbertctl")]
 #[case("fish", "complete -c filbertctl")]
-fn a_shell_gets_its_completions(#[case] shell: &str, #[case] holds: &str) {
+fn completions_are_generated_for_each_shell(#[case] shell: &str, #[case] expected: &str) {
     let output = Command::new(env!("CARGO_BIN_EXE_filbertctl"))
         .args(["completions", shell])
         .output()
-        .expect("it runs");
+        .expect("filbertctl runs");
     let text = String::from_utf8_lossy(&output.stdout);
     assert!(output.status.success());
-    assert!(text.contains(holds), "{holds} is not in {text}");
+    assert!(text.contains(expected), "{expected} is not in {text}");
     assert!(text.contains("withdraw"), "{text}");
 }
 
-/// An edit is refused while backtraces are switched on, as in the README's demo.
-/// The message must read as a sentence, not as a crash.
+/// An edit is rejected while backtraces are enabled, as in the README's demo. The
+/// message must be one line with the reason and no backtrace, which would look like
+/// a crash.
 #[test]
-fn a_refused_edit_reads_as_a_sentence() {
+fn rejected_edit_is_reported_in_one_line_without_a_backtrace() {
     let report = error_stack::Report::new(filbert_ctl::error::CtlError::BadInput)
         .attach("route names unknown service `nowhere`");
     assert_eq!(
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short soak, and every seed that ever failed.
+//! Short randomized soak tests, among them every seed that has ever failed.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -6,33 +6,36 @@
 use filbert_platform_standin::soak::{self, SoakSpec};
 use rstest::rstest;
 
-/// What comes with the faults.
+/// What happens during a soak besides the random faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Company {
+enum ExtraEvent {
     None,
+    /// A call that ends each target that runs it.
     HarmfulCall,
+    /// A roll-out, and a store that is restored from an older copy.
     Rollout,
 }
 
-/// Six daemons are killed, paused, stopped, cut off and reloaded while targets,
-/// store and links misbehave and versions change. Callers must never see a
-/// promise broken: nothing doubled, nothing told "not run" that ran, whole
-/// answers, versions never back and in force in time, no call cut by a planned
-/// stop, no work for a target that left.
+/// Daemons are killed, paused, stopped, cut off and reloaded while targets, the
+/// store and links misbehave and versions change. The guarantees to callers must
+/// hold: no order runs twice, no order that is reported as not run has run,
+/// responses are whole, versions come into force in time and never go back, a
+/// planned stop cuts no call, and a target that has left gets no calls.
 #[rstest]
-#[case::short(1, 6, Company::None)]
-// Two replacements of one target overlap. The soak took the second's word of
-// leaving for that of the target that the first had put in its place.
-#[case::overlapping_replacements(201, 8, Company::None)]
+#[case::short(1, 6, ExtraEvent::None)]
+// Two replacements of one target overlap. The soak counted the drain that the
+// second replacement had ordered as one of the new target that the first
+// replacement had started since.
+#[case::overlapping_replacements(201, 8, ExtraEvent::None)]
 // A call ends each target that runs it while daemons and links fail too.
-#[case::short_with_a_harmful_call(2, 6, Company::HarmfulCall)]
-// A roll-out is ordered, and the store comes back from an older copy.
-#[case::short_with_a_roll_out(3, 6, Company::Rollout)]
+#[case::short_with_a_harmful_call(2, 6, ExtraEvent::HarmfulCall)]
+// A roll-out is ordered, and the store is restored from an older copy.
+#[case::short_with_a_roll_out(3, 6, ExtraEvent::Rollout)]
 #[tokio::test(flavor = "multi_thread")]
-async fn promises_hold_through_a_soak(
+async fn guarantees_hold_during_a_soak(
     #[case] seed: u64,
     #[case] hosts: usize,
-    #[case] company: Company,
+    #[case] extra_event: ExtraEvent,
 ) {
     let report = soak::run(&SoakSpec {
         program: PathBuf::from(env!("CARGO_BIN_EXE_filbertd")),
@@ -40,8 +43,8 @@
         length: Duration::from_secs(12),
         hosts,
         callers: 3,
-        has_harmful: company == Company::HarmfulCall,
-        has_rollout: company == Company::Rollout,
+        has_harmful: extra_event == ExtraEvent::HarmfulCall,
+        has_rollout: extra_event == ExtraEvent::Rollout,
     })
     .await;
     println!("{}", report.text());
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -1,7 +1,7 @@
-//! Helpers of the tests that run daemons between stand-ins of the users'
-//! platform.
+//! Helpers for tests that run mesh daemons against stand-ins of the users'
+//! platform: a store, targets and clients.
 
-#![allow(dead_code)] // Each test binary uses its own part of these.
+#![allow(dead_code)] // Each test binary uses only some of the helpers.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -10,21 +10,21 @@
 use filbert_platform_standin::{config_text, Client, Host, HostSpec, RouteSpec, StandinStore};
 use nix::sys::signal::Signal;
 
-/// How long tests wait for what must happen; far beyond what it takes.
+/// Longest wait for an expected event; far above the usual time.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A store and some hosts.
+/// A store stand-in and the hosts that use it.
 pub struct Fleet {
     pub store: StandinStore,
     pub hosts: Vec<Host>,
 }
 
-/// Puts version `number` with `routes` into the store.
+/// Writes the configuration to the store: version `number`, with `routes`.
 pub fn publish(store: &StandinStore, number: u64, routes: &[RouteSpec]) {
     store.put("op", "config", &config_text(number, routes));
 }
 
-/// What host `name` in `zone` with a target of `service` is started with.
+/// Specification of a host `name` in `zone` with one target of `service`.
 pub fn host_spec(store: &StandinStore, name: &str, zone: &str, service: &str) -> HostSpec {
     HostSpec {
         program: PathBuf::from(env!("CARGO_BIN_EXE_filbertd")),
@@ -39,8 +39,9 @@
     }
 }
 
-/// Starts one host per name, zone and service, with version 1 of `routes` in
-/// the store, and waits until all are ready and see each other's targets.
+/// Writes `routes` to a new store as version 1, starts one host for each name,
+/// zone and service in `hosts`, and waits until all of them are ready and know
+/// each other's targets.
 pub async fn fleet(routes: &[RouteSpec], hosts: &[(&str, &str, &str)]) -> Fleet {
     let store = StandinStore::start().await;
     publish(&store, 1, routes);
@@ -56,8 +57,8 @@
     fleet
 }
 
-/// A host of a service that only calls, in zone `a`, and a host of `quotes`
-/// in `zone`.
+/// Starts host 0 in zone `a`, whose service no route leads to, and host 1 in
+/// `zone`, with a target of `quotes`.
 pub async fn two_host_fleet(zone: &str) -> Fleet {
     let routes = [
         RouteSpec::reads("/read/", "quotes"),
@@ -71,20 +72,22 @@
 }
 
 impl Fleet {
-    /// A connection to the daemon of `host`.
+    /// Opens a connection to the daemon of the host with index `host`.
     pub async fn connect(&self, host: usize) -> Client {
         Client::connect(self.hosts[host].calls)
             .await
             .expect("a connection")
     }
 
-    /// How often call `id` ran, at all targets together.
+    /// Number of times that call `id` ran, on all targets together.
     pub fn run_count(&self, id: &str) -> usize {
         let runs = |host: &Host| host.target.runs().iter().filter(|run| run.id == id).count();
         self.hosts.iter().map(runs).sum()
     }
 
-    /// A call of host 0 that runs at the target of host 1 by now.
+    /// Sends call `id` through host 0 and waits until it runs on the target of
+    /// host 1, which must have run no other call. The response is left for the
+    /// returned client to read.
     pub async fn start_call(&self, line: &str, id: &str) -> Client {
         let mut client = self.connect(0).await;
         client
@@ -96,7 +99,7 @@
         client
     }
 
-    /// Waits until every daemon is ready and knows every other's target.
+    /// Waits until every daemon is ready and knows the target of every other host.
     pub async fn wait_until_ready(&self) {
         for host in &self.hosts {
             assert!(
@@ -112,7 +115,7 @@
                     let heard = format!("event=target_heard peer={} ", other.spec.name);
                     assert!(
                         eventually_logs(host, &heard).await,
-                        "{} does not see {}:\n{}",
+                        "{} does not know the target of {}:\n{}",
                         host.spec.name,
                         other.spec.name,
                         host.log()
@@ -123,28 +126,30 @@
     }
 }
 
-/// Adds `more` to the settings of `host` and has them reloaded.
-pub async fn reload_with(host: &Host, more: &str) {
+/// Appends `settings` to the settings file of `host` and reloads it with SIGHUP.
+pub async fn reload_with(host: &Host, settings: &str) {
     let path = &host.settings_path;
     let text = std::fs::read_to_string(path).expect("the settings");
-    std::fs::write(path, format!("{text}\n{more}")).expect("written");
+    std::fs::write(path, format!("{text}\n{settings}")).expect("written");
     host.signal(Signal::SIGHUP);
     assert!(eventually_logs(host, "event=reloaded changed=true").await);
 }
 
-/// Waits until `host` has logged `text`; whether it did in time.
+/// Waits until the log of `host` contains `text`, for at most [`WAIT_TIMEOUT`];
+/// returns whether it does.
 pub async fn eventually_logs(host: &Host, text: &str) -> bool {
     eventually(WAIT_TIMEOUT, || async { host.log().contains(text) }).await
 }
 
-/// Polls until `check` holds, for at most `within`; whether it did.
-pub async fn eventually<F, Fut>(within: Duration, mut check: F) -> bool
+/// Polls `check` every 20 ms until it returns true, for at most `timeout`;
+/// returns whether it did.
+pub async fn eventually<F, Fut>(timeout: Duration, mut check: F) -> bool
 where
     F: FnMut() -> Fut,
     Fut: std::future::Future<Output = bool>,
 {
     let started = std::time::Instant::now();
-    while started.elapsed() < within {
+    while started.elapsed() < timeout {
         if check().await {
             return true;
         }
