--- a/benches/convergence.rs
+++ b/benches/convergence.rs
@@ -1,8 +1,8 @@
-//! Convergence time and control bytes of the zone relay, against the baseline
-//! of every daemon polling the platform for whole versions, both in this run.
-//! Printed, never asserted. Convergence is read from the daemons' own logs
-//! (`event=applied`, wall clock of this machine), so that measuring adds no
-//! load to what is measured.
+//! Measures convergence times and control bytes of the zone relay and of a
+//! baseline in which every daemon polls the platform for whole versions, both in
+//! this run. The figures are printed, never asserted. Convergence times come from
+//! the daemons' own logs (`event=applied`, wall clock of this machine), so that
+//! the measurement adds no load.
 
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -16,27 +16,29 @@
 use hdrhistogram::Histogram;
 
 const DAEMON_EXE: &str = env!("CARGO_BIN_EXE_filbertd");
-/// Daemons in each run, over two zones.
-const SIZES: [usize; 3] = [50, 100, 200];
+/// Daemons in each run, spread over two zones.
+const DAEMON_COUNTS: [usize; 3] = [50, 100, 200];
 /// Changes accepted per run.
 const CHANGES: u64 = 8;
-/// Pause between changes, in which the mesh is otherwise idle.
-const PAUSE: Duration = Duration::from_secs(1);
-/// Poll interval of whatever reads the platform. At 200 daemons the baseline
-/// then makes the 2,000 reads a second that the platform gives.
-const POLL: Duration = Duration::from_millis(200);
-/// The tree: 480 routes.
-const SHAPE: TreeShape = TreeShape {
+/// Pause after each change, in which the mesh is otherwise idle.
+const CHANGE_INTERVAL: Duration = Duration::from_secs(1);
+/// Poll interval of each daemon that reads the platform. With 200 daemons, the
+/// baseline makes 2,000 reads a second, which is what the platform can serve.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Shape of the settings tree, which has 480 routes.
+const TREE_SHAPE: TreeShape = TreeShape {
     members: 40,
     services: 3,
     routes: 4,
 };
 
-struct RunFigures {
+/// Figures of one run. Convergence times are in milliseconds. `version_bytes` and
+/// `object_reads` are per change, `version_bytes` and `bytes_per_second` per daemon.
+struct RunResults {
     daemons: usize,
     mode: DistributionMode,
-    each: Histogram<u64>,
-    everywhere: Histogram<u64>,
+    daemon_convergence: Histogram<u64>,
+    mesh_convergence: Histogram<u64>,
     version_bytes: f64,
     object_reads: f64,
     reads_per_second: f64,
@@ -44,7 +46,7 @@
     bytes_per_second: f64,
 }
 
-/// Sums a counter over every daemon.
+/// Sum of a counter over all daemons.
 async fn total(mesh: &LocalMesh, counter: &str) -> u64 {
     let mut sum = 0;
     for daemon in &mesh.daemons {
@@ -54,19 +56,19 @@
 }
 
 #[allow(clippy::cast_precision_loss)]
-async fn run(daemons: usize, mode: DistributionMode) -> RunFigures {
+async fn run(daemons: usize, mode: DistributionMode) -> RunResults {
     let spec = MeshSpec::new(Path::new(DAEMON_EXE), &["s0", "s1", "s2"])
         .daemons_per_zone(daemons / 2)
         .target_hosts(2)
-        .poll(POLL)
+        .poll(POLL_INTERVAL)
         .mode(mode);
     let mesh = LocalMesh::start(spec).await;
-    let tree = SHAPE.build();
+    let tree = TREE_SHAPE.build();
     mesh.publish(1, &tree, None).await;
     mesh.wait_in_force(1, Duration::from_secs(60))
         .await
         .expect("version 1 in force");
-    tokio::time::sleep(PAUSE).await;
+    tokio::time::sleep(CHANGE_INTERVAL).await;
     let before = mesh.platform.store.stats();
     let before_links = total(&mesh, "link_bytes_received").await;
     let before_version_bytes = total(&mesh, "control_bytes").await;
@@ -75,12 +77,12 @@
     let mut in_force = tree.clone();
     for change in 0..CHANGES {
         let next = with_small_edit(&tree, change);
-        // The baseline reads whole versions: no steps are stored for it.
+        // The baseline reads whole versions, so no delta is stored for it.
         let base = (mode == DistributionMode::Relay).then_some(&in_force);
         let accepted = mesh.publish(change + 2, &next, base).await;
         accepts.push((change + 2, accepted));
         in_force = next;
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(CHANGE_INTERVAL).await;
     }
     mesh.wait_in_force(CHANGES + 1, Duration::from_secs(60))
         .await
@@ -89,28 +91,30 @@
     let platform = mesh.platform.store.stats().since(before);
     let links = total(&mesh, "link_bytes_received").await - before_links;
     let version_bytes = total(&mesh, "control_bytes").await - before_version_bytes;
-    let (each, everywhere) = convergence(&applied_history(&mesh), &accepts);
-    let per_change = CHANGES as f64;
-    RunFigures {
+    let (daemon_convergence, mesh_convergence) =
+        convergence_times(&applied_history(&mesh), &accepts);
+    let changes = CHANGES as f64;
+    RunResults {
         daemons,
         mode,
-        each,
-        everywhere,
-        version_bytes: version_bytes as f64 / per_change / daemons as f64,
-        object_reads: platform.object_reads as f64 / per_change,
+        daemon_convergence,
+        mesh_convergence,
+        version_bytes: version_bytes as f64 / changes / daemons as f64,
+        object_reads: platform.object_reads as f64 / changes,
         reads_per_second: platform.total_reads() as f64 / elapsed,
         writes_per_second: platform.writes as f64 / elapsed,
         bytes_per_second: (platform.bytes_out + links) as f64 / elapsed / daemons as f64,
     }
 }
 
-/// Milliseconds from accept to in force: on each daemon, and on the last one.
-fn convergence(
+/// Milliseconds from accepting a version until it is in force: on each daemon, and
+/// on the last of them.
+fn convergence_times(
     history: &[AppliedRecord],
     accepts: &[(u64, SystemTime)],
 ) -> (Histogram<u64>, Histogram<u64>) {
-    let mut each = Histogram::new(3).expect("histogram");
-    let mut everywhere = Histogram::new(3).expect("histogram");
+    let mut daemon_convergence = Histogram::new(3).expect("histogram");
+    let mut mesh_convergence = Histogram::new(3).expect("histogram");
     for (number, accepted) in accepts {
         let accepted_ms = accepted
             .duration_since(UNIX_EPOCH)
@@ -118,12 +122,12 @@
         let mut last = 0;
         for record in history.iter().filter(|record| record.to == *number) {
             let took = record.at_ms.saturating_sub(accepted_ms);
-            each.record(took).expect("record");
+            daemon_convergence.record(took).expect("record");
             last = last.max(took);
         }
-        everywhere.record(last).expect("record");
+        mesh_convergence.record(last).expect("record");
     }
-    (each, everywhere)
+    (daemon_convergence, mesh_convergence)
 }
 
 #[allow(clippy::cast_precision_loss)]
@@ -133,17 +137,17 @@
         .enable_all()
         .build()
         .expect("runtime");
-    let tree = SHAPE.build();
+    let tree = TREE_SHAPE.build();
     let edit = TreeDelta::between(&with_small_edit(&tree, 0), &with_small_edit(&tree, 1));
     let edit_bytes = filbert_daemon::messages::encode_frame(&edit).len();
     println!(
         "tree of {} routes, {} bytes whole, {edit_bytes} bytes the delta; poll {} ms; {CHANGES} changes",
-        SHAPE.route_count(),
+        TREE_SHAPE.route_count(),
         filbert_daemon::messages::encode_frame(&tree).len(),
-        POLL.as_millis()
+        POLL_INTERVAL.as_millis()
     );
     println!("daemons  mode    each_p50_ms  each_p99_ms  everywhere_p50_ms  everywhere_max_ms  version_B/change/daemon  object_reads/change  reads/s  writes/s  control_B/s/daemon");
-    for daemons in SIZES {
+    for daemons in DAEMON_COUNTS {
         let mut figures = Vec::new();
         for mode in [DistributionMode::Direct, DistributionMode::Relay] {
             let run = runtime.block_on(run(daemons, mode));
@@ -153,8 +157,8 @@
         let (direct, relay) = (&figures[0], &figures[1]);
         println!(
             "{daemons:>7}  ratio relay/direct: everywhere_p50 {:.2}, version bytes {:.3}, object reads {:.3}, reads {:.3}, writes {:.3}, control bytes {:.3}; version bytes are {:.2}x the delta",
-            relay.everywhere.value_at_quantile(0.5) as f64
-                / direct.everywhere.value_at_quantile(0.5) as f64,
+            relay.mesh_convergence.value_at_quantile(0.5) as f64
+                / direct.mesh_convergence.value_at_quantile(0.5) as f64,
             relay.version_bytes / direct.version_bytes,
             relay.object_reads / direct.object_reads,
             relay.reads_per_second / direct.reads_per_second,
@@ -165,7 +169,7 @@
     }
 }
 
-fn print_run(run: &RunFigures) {
+fn print_run(run: &RunResults) {
     let mode = match run.mode {
         DistributionMode::Direct => "direct",
         DistributionMode::Relay => "relay",
@@ -173,10 +177,10 @@
     println!(
         "{:>7}  {mode:<6}  {:>11}  {:>11}  {:>17}  {:>17}  {:>23.0}  {:>19.1}  {:>7.0}  {:>8.1}  {:>18.0}",
         run.daemons,
-        run.each.value_at_quantile(0.5),
-        run.each.value_at_quantile(0.99),
-        run.everywhere.value_at_quantile(0.5),
-        run.everywhere.max(),
+        run.daemon_convergence.value_at_quantile(0.5),
+        run.daemon_convergence.value_at_quantile(0.99),
+        run.mesh_convergence.value_at_quantile(0.5),
+        run.mesh_convergence.max(),
         run.version_bytes,
         run.object_reads,
         run.reads_per_second,
--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,4 +1,5 @@
-//! What the pure decisions cost, in nanoseconds each. Printed, never asserted.
+//! Measures the cost of the pure decision functions, in nanoseconds per decision.
+//! The figures are printed, never asserted.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -24,9 +25,11 @@
 use filbert_policy::run_times::{RunTime, RunTimeEstimator};
 use filbert_policy::weights::WeightedRoundRobin;
 
-/// Decisions measured for each figure.
+/// Measured decisions per figure.
 const ROUNDS: u32 = 100_000;
 
+/// Prints the average time of `decide` under `name`, after a warm-up of a tenth of
+/// the rounds.
 fn measure(name: &str, mut decide: impl FnMut(u32)) {
     for round in 0..ROUNDS / 10 {
         decide(round);
@@ -41,6 +44,7 @@
     );
 }
 
+/// A route that splits its calls 90 to 10 between two services.
 fn route(number: usize) -> RouteRule {
     RouteRule {
         name: format!("r-{number}"),
@@ -65,13 +69,14 @@
     }
 }
 
-/// The text of a version with `count` routes, one of which is its own.
+/// Text of configuration version `number` with `count` routes, of which only the
+/// first depends on the version.
 fn config_text(number: usize, count: usize) -> String {
     let routes: Vec<String> = (0..count)
         .map(|route| {
-            let own = if route == 0 { number } else { 0 };
+            let revision = if route == 0 { number } else { 0 };
             format!(
-                r#"{{"name":"r{route}","host":"h{route}.example","prefix":"/p{route}/{own}/","route_type":"idempotent","timeout":"2s","target_latency":"600ms","priority":2,"service":"s","max_attempts":3}}"#
+                r#"{{"name":"r{route}","host":"h{route}.example","prefix":"/p{route}/{revision}/","route_type":"idempotent","timeout":"2s","target_latency":"600ms","priority":2,"service":"s","max_attempts":3}}"#
             )
         })
         .collect();
@@ -81,8 +86,8 @@
     )
 }
 
-/// Cost of putting one version after another in force, read anew and by what
-/// the version before shares with it.
+/// Cost of decoding one version after another, from scratch and by reusing what the
+/// previous version shares with it, and of computing and applying their delta.
 fn measure_versions() {
     const ROUTES: usize = 2_400;
     let texts: Vec<String> = (1..=2).map(|number| config_text(number, ROUTES)).collect();
@@ -103,16 +108,16 @@
     });
 }
 
-/// Cost of choosing a call's target.
+/// Cost of choosing the target of a call.
 fn measure_placement() {
-    let call = PlacementRequest {
+    let request = PlacementRequest {
         transfer_kib: 5.0,
         soft_deadline_ms: 600.0,
         deadline_ms: 2_000.0,
         zone_has_target: true,
         is_above_lowest_priority: false,
     };
-    let crossing = CrossZoneCost {
+    let cross_zone_cost = CrossZoneCost {
         base: 0.01,
         per_kib: 0.006,
         most: 0.9,
@@ -135,20 +140,20 @@
             .collect();
         let mut rng = rand::rng();
         measure(&format!("placement among {count} targets"), |_| {
-            black_box(choose_target(&views, &call, &crossing, &mut rng));
+            black_box(choose_target(&views, &request, &cross_zone_cost, &mut rng));
         });
     }
 }
 
-/// Cost of noting a run and of judging the next by its kind.
+/// Cost of recording a run time and of estimating the next one of its kind.
 fn measure_run_times() {
-    let mut times = RunTimeEstimator::default();
-    let usual = RunTime::exponential(Duration::from_millis(30));
+    let mut estimator = RunTimeEstimator::default();
+    let expected = RunTime::exponential(Duration::from_millis(30));
     let kinds = ["lookup", "order", "report"];
     measure("a run noted and judged, by kind", |round| {
         let kind = kinds[round as usize % kinds.len()];
-        times.record(kind, Some(usual), usual.mean);
-        black_box(times.expect(kind, Some(usual)));
+        estimator.record(kind, Some(expected), expected.mean);
+        black_box(estimator.expect(kind, Some(expected)));
     });
 }
 
@@ -163,8 +168,8 @@
     })
 }
 
-/// What knowing a call costs each call, and what the book costs while it holds
-/// many.
+/// Cost of computing the identity of a call, by length of its body, and of looking a
+/// call up in a quarantine table that holds many.
 fn measure_quarantine() {
     for length in [0, 1_000, 64 * 1024] {
         let body = vec![b'x'; length];
@@ -189,8 +194,8 @@
     });
 }
 
-/// A look of a decider at 114 targets with eight kinds of call, and the lane of
-/// one call.
+/// Cost of evaluating a canary on 114 targets with eight kinds of call, and of
+/// choosing the version preference of one call.
 fn measure_rollout() {
     let names: Vec<String> = (0..114).map(|target| format!("host-{target}")).collect();
     let kinds: Vec<String> = (0..8).map(|kind| format!("r-{kind}")).collect();
@@ -215,16 +220,16 @@
     };
     let start = Instant::now();
     let mut judge = CanaryJudge::default();
-    let looks = 60;
+    let evaluations = 60;
     let began = Instant::now();
-    for round in 0..looks {
+    for round in 0..evaluations {
         let now = start + Duration::from_millis(200) * round;
         black_box(judge.evaluate(&counts_at(round), now));
     }
     println!(
         "{:<44} {:>8.0} ns",
         "judge's look, 114 targets, 8 kinds",
-        began.elapsed().as_secs_f64() * 1e9 / f64::from(looks)
+        began.elapsed().as_secs_f64() * 1e9 / f64::from(evaluations)
     );
     let order = OrderId { era: 0, version: 5 };
     let record = RolloutRecord {
@@ -236,7 +241,8 @@
     });
 }
 
-/// Cost of looking a key up among many, and of a token's way from a pool to a call.
+/// Cost of looking a key up among many, and of handing a token from its pool to a
+/// call.
 fn measure_organisations() {
     const ORGANISATIONS: usize = 10_000;
     const KEYS_EACH: usize = 10;
@@ -246,7 +252,7 @@
         burst: 1e9,
     };
     let organisations = (0..ORGANISATIONS).map(|number| {
-        let keys = (0..KEYS_EACH).map(|each| KeyHash::of(&key(number, each)));
+        let keys = (0..KEYS_EACH).map(|index| KeyHash::of(&key(number, index)));
         let rule = OrganisationRule {
             name: format!("organisation-{number}"),
             keys: keys.collect(),
@@ -256,15 +262,15 @@
         Arc::new(rule)
     });
     let index = KeyIndex::compile(organisations.collect());
-    let held = key(ORGANISATIONS / 2, 3);
+    let known_key = key(ORGANISATIONS / 2, 3);
     measure("holder of a key, 100,000 keys", |_| {
-        black_box(index.holder(&held));
+        black_box(index.holder(&known_key));
     });
     measure("holder of a key that is not known", |_| {
         black_box(index.holder("no key at all"));
     });
     let now = Instant::now();
-    let part = PoolTopology {
+    let topology = PoolTopology {
         zones: 3,
         pools: 2,
         hosts: 20,
@@ -274,7 +280,7 @@
     let mut token_cache = TokenCache::default();
     measure("a token from pool to call", |round| {
         let now = now + Duration::from_millis(u64::from(round));
-        token_cache.granted(pool.grant("one", limit, part.share(), 1, now), now);
+        token_cache.granted(pool.grant("one", limit, topology.share(), 1, now), now);
         black_box(token_cache.take(now));
     });
 }
@@ -285,7 +291,7 @@
     measure_rollout();
     measure_quarantine();
     let routes: Vec<Arc<RouteRule>> = (0..2_000).map(route).map(Arc::new).collect();
-    let first = Arc::clone(&routes[0]);
+    let split_route = Arc::clone(&routes[0]);
     let index = RouteIndex::compile(ConfigVersion {
         number: 1,
         routes,
@@ -296,9 +302,9 @@
     measure("route lookup, 2,000 routes, depth 4", |_| {
         black_box(index.lookup("shop.example", "/p1999/a/b/c?d=e"));
     });
-    let mut dealer = WeightedRoundRobin::default();
+    let mut round_robin = WeightedRoundRobin::default();
     measure("deal of a split route", |_| {
-        black_box(dealer.next_service(&first, 7));
+        black_box(round_robin.next_service(&split_route, 7));
     });
     measure_placement();
     measure_run_times();
@@ -307,7 +313,7 @@
     let mut queue = AdmissionQueue::new(QueueLimits::default());
     queue.set_slots(9);
     queue.set_open(true);
-    let demand = |round: u32| AdmissionRequest {
+    let request = |round: u32| AdmissionRequest {
         priority: u8::from(round.is_multiple_of(2)),
         soft_deadline: now + Duration::from_secs(2),
         deadline: now + Duration::from_secs(4),
@@ -315,21 +321,21 @@
         link: LinkTime::default(),
     };
     for round in 0..40 {
-        queue.offer(demand(round), run, now);
+        queue.offer(request(round), run, now);
     }
     measure("offer, settle and finish, some 30 waiting", |round| {
-        let verdict = queue.offer(demand(round), run, now);
-        if !matches!(verdict, AdmissionDecision::Decline { .. }) {
+        let decision = queue.offer(request(round), run, now);
+        if !matches!(decision, AdmissionDecision::Decline { .. }) {
             queue.finish_run();
             black_box(queue.dispatch(run, now));
         }
     });
-    let terms = RetryBudgetLimits {
+    let limits = RetryBudgetLimits {
         ratio: 0.2,
         slack: 56.0,
         window: Duration::from_secs(10),
     };
-    let mut budget = RetryBudget::new(terms, now);
+    let mut budget = RetryBudget::new(limits, now);
     measure("retry budget, earn and spend", |_| {
         budget.record_call("one", now);
         black_box(budget.try_spend("one", RetryCause::NoAnswer, 10, now));
--- a/benches/mesh.rs
+++ b/benches/mesh.rs
@@ -1,5 +1,6 @@
-//! Convergence, store calls, processor and memory of daemons between stand-ins
-//! of the users' platform. Printed, never asserted.
+//! Measures convergence times, store calls, processor time and memory of mesh
+//! daemons that run against stand-ins of the users' platform. The figures are
+//! printed, never asserted.
 
 #[path = "../tests/support/users.rs"]
 mod users;
@@ -12,27 +13,32 @@
 use hdrhistogram::Histogram;
 use users::{fleet, publish, Fleet};
 
-/// Hosts in the runs; the users' sites have 10 and 12.
-const SIZES: [usize; 2] = [4, 12];
-/// Routes besides those that are measured, as on the users' sites.
+/// Hosts in each run; the users' sites have 10 and 12.
+const HOST_COUNTS: [usize; 2] = [4, 12];
+/// Routes besides the measured ones, as many as on the users' sites.
 const IDLE_ROUTES: usize = 300;
-/// Versions published, and the pause between them.
+/// Versions published in each run.
 const VERSIONS: u64 = 20;
-const PAUSE: Duration = Duration::from_millis(500);
-/// Calls made for the processor figure, from connections at once.
+/// Pause after each published version.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(500);
+/// Calls made to measure the processor time per call.
 const CALLS: usize = 4_000;
+/// Concurrent connections that make the calls.
 const CONNECTIONS: usize = 8;
 
-fn routes(newest: u64) -> Vec<RouteSpec> {
+/// Routes of version `version`. Its route `/v{version}/` is in no other version.
+fn routes(version: u64) -> Vec<RouteSpec> {
     let mut all: Vec<RouteSpec> = (0..IDLE_ROUTES)
         .map(|number| RouteSpec::reads(&format!("/idle{number}/"), "quotes"))
         .collect();
     all.push(RouteSpec::reads("/read/", "quotes"));
-    all.push(RouteSpec::reads(&format!("/v{newest}/"), "quotes"));
+    all.push(RouteSpec::reads(&format!("/v{version}/"), "quotes"));
     all
 }
 
-async fn serves(fleet: &Fleet, host: usize, version: u64) -> bool {
+/// Whether the daemon of the host with index `host` serves the route that is only
+/// in version `version`.
+async fn serves_version(fleet: &Fleet, host: usize, version: u64) -> bool {
     let line = format!("GET /v{version}/a HTTP/1.1");
     fleet.hosts[host]
         .call(&line, "probe", b"")
@@ -40,25 +46,27 @@
         .is_some_and(|answer| answer.status == 200)
 }
 
-/// Time until every host serves a version's new route, in milliseconds.
-async fn convergence(fleet: &Fleet) -> Histogram<u64> {
+/// Times from publishing a version until every host serves the version's new route, in
+/// milliseconds.
+async fn convergence_times(fleet: &Fleet) -> Histogram<u64> {
     let mut times = Histogram::new(3).expect("a histogram");
     for version in 2..2 + VERSIONS {
         publish(&fleet.store, version, &routes(version));
         let started = Instant::now();
         for host in 0..fleet.hosts.len() {
-            while !serves(fleet, host, version).await {
+            while !serves_version(fleet, host, version).await {
                 tokio::time::sleep(Duration::from_millis(2)).await;
             }
         }
         let took = u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX);
         times.record(took.max(1)).expect("in range");
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(PUBLISH_INTERVAL).await;
     }
     times
 }
 
-fn processor(fleet: &Fleet) -> Duration {
+/// Processor time that all daemons have used so far.
+fn total_processor_time(fleet: &Fleet) -> Duration {
     fleet
         .hosts
         .iter()
@@ -67,10 +75,10 @@
         .sum()
 }
 
-/// Makes calls from the first host, which has no target of the service, and
-/// gives the processor time of all daemons for each.
+/// Makes calls through the first host, which has no target of the service, and
+/// returns the processor time of all daemons per call.
 async fn processor_per_call(fleet: &Fleet) -> Duration {
-    let before = processor(fleet);
+    let before = total_processor_time(fleet);
     let address = fleet.hosts[0].calls;
     let mut tasks = Vec::new();
     for connection in 0..CONNECTIONS {
@@ -83,7 +91,7 @@
                     .send(line, &call_headers(&id), b"")
                     .await
                     .expect("sent");
-                client.answer().await.expect("an answer");
+                client.answer().await.expect("a response");
             }
         }));
     }
@@ -91,13 +99,13 @@
         task.await.expect("a client");
     }
     let calls = u32::try_from(CALLS).expect("a count");
-    processor(fleet).saturating_sub(before) / calls
+    total_processor_time(fleet).saturating_sub(before) / calls
 }
 
 #[tokio::main]
 async fn main() {
     println!("hosts  in force everywhere p50/max ms  feed calls/version  us/call  resident MB");
-    for size in SIZES {
+    for size in HOST_COUNTS {
         let names: Vec<String> = (0..size).map(|number| format!("h{number}")).collect();
         let hosts: Vec<(&str, &str, &str)> = names
             .iter()
@@ -110,7 +118,7 @@
             .collect();
         let fleet = fleet(&routes(1), &hosts).await;
         let feeds = fleet.store.calls("/rows-feed");
-        let times = convergence(&fleet).await;
+        let times = convergence_times(&fleet).await;
         let feeds = fleet.store.calls("/rows-feed") - feeds;
         let per_call = processor_per_call(&fleet).await;
         let resident = fleet
