--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -80,17 +80,17 @@
     amount as f64 / window.as_secs_f64()
 }
 
-/// Processor time that a process used between two readings.
-fn processor_time_between(before: ProcessUsage, after: ProcessUsage) -> Duration {
+/// CPU time that a process used between two readings.
+fn cpu_time_between(before: ProcessUsage, after: ProcessUsage) -> Duration {
     after.processor.saturating_sub(before.processor)
 }
 
 /// Share of one core that a process used in `window`, in percent.
-fn core_percent(before: ProcessUsage, after: ProcessUsage, window: Duration) -> f64 {
-    processor_time_between(before, after).as_secs_f64() / window.as_secs_f64() * 100.0
+fn cpu_percent(before: ProcessUsage, after: ProcessUsage, window: Duration) -> f64 {
+    cpu_time_between(before, after).as_secs_f64() / window.as_secs_f64() * 100.0
 }
 
-/// Prints the memory of a daemon and its processor time to apply a change, by size
+/// Prints the memory of a daemon and its CPU time to apply a change, by size
 /// of the tree.
 async fn print_tree_table() {
     println!("\n[tree] one daemon alone in its zone; version 1 applied");
@@ -112,18 +112,18 @@
         }
         let after = process_usage(&mesh.daemons[0]);
         let baseline_kib = *baseline.get_or_insert(before.resident_kib);
-        let processor_ms = processor_time_between(before, after).as_millis();
+        let cpu_ms = cpu_time_between(before, after).as_millis();
         println!(
             "{routes:>6}  {:>11}  {:>12}  {:>17}  {:>19}",
             VersionCodec::encode_delta(&TreeDelta::between(&SettingsTree::default(), &tree)).len(),
             after.resident_kib,
             after.resident_kib.saturating_sub(baseline_kib),
-            processor_ms / u128::from(CHANGES),
+            cpu_ms / u128::from(CHANGES),
         );
     }
 }
 
-/// Prints memory, processor time and link bytes of a relay and of a follower, by
+/// Prints memory, CPU time and link bytes of a relay and of a follower, by
 /// number of peers.
 async fn print_peer_table() {
     println!("\n[peers] one zone, 480 routes, no targets; idle, then one change a second; shares of one core");
@@ -156,12 +156,12 @@
             "{:>5}  {:>9}  {:>12.2}  {:>14.0}  {:>14.2}  {:>14}  {:>12}  {:>15.2}  {:>17.0}  {:>17}  {:>7.1}  {:>8.1}",
             daemons - 1,
             end.relay.resident_kib,
-            core_percent(idle.relay, busy.relay, MEASUREMENT_WINDOW),
+            cpu_percent(idle.relay, busy.relay, MEASUREMENT_WINDOW),
             per_second(idle_relay, MEASUREMENT_WINDOW),
-            core_percent(busy.relay, end.relay, MEASUREMENT_WINDOW),
+            cpu_percent(busy.relay, end.relay, MEASUREMENT_WINDOW),
             bytes_per_change(end.relay_bytes - busy.relay_bytes, idle_relay),
             end.follower.resident_kib,
-            core_percent(idle.follower, busy.follower, MEASUREMENT_WINDOW),
+            cpu_percent(idle.follower, busy.follower, MEASUREMENT_WINDOW),
             per_second(idle_follower, MEASUREMENT_WINDOW),
             bytes_per_change(end.follower_bytes - busy.follower_bytes, idle_follower),
             per_second(idle_platform.since(platform).total_reads(), MEASUREMENT_WINDOW),
@@ -189,7 +189,7 @@
     }
 }
 
-/// Prints memory, processor time and link bytes of a relay and of a follower, by
+/// Prints memory, CPU time and link bytes of a relay and of a follower, by
 /// number of targets in the zone.
 async fn print_target_table() {
     println!("\n[targets] one zone of 4 daemons; targets announce every 300 ms, loads still");
@@ -221,7 +221,7 @@
             per_host * 4,
             after.relay.resident_kib,
             after.follower.resident_kib,
-            core_percent(before.relay, after.relay, MEASUREMENT_WINDOW),
+            cpu_percent(before.relay, after.relay, MEASUREMENT_WINDOW),
             per_second(
                 after.follower_bytes - before.follower_bytes,
                 MEASUREMENT_WINDOW
@@ -278,7 +278,7 @@
 }
 
 /// Prints the latency of calls sent directly and through the daemon, and the
-/// processor time of the daemon per call.
+/// CPU time of the daemon per call.
 async fn print_proxy_table() {
     println!("\n[proxy] one daemon and one target with no work; {CALLS} calls a row");
     println!("callers  path    p50_us  p99_us  daemon_cpu_us/call");
@@ -301,12 +301,12 @@
             let before = process_usage(&mesh.daemons[0]);
             let times = call_times(&method, url, callers).await;
             let after = process_usage(&mesh.daemons[0]);
-            let processor_us = processor_time_between(before, after).as_micros();
+            let cpu_us = cpu_time_between(before, after).as_micros();
             println!(
                 "{callers:>7}  {name:<7} {:>6}  {:>6}  {:>18}",
                 times.value_at_quantile(0.5),
                 times.value_at_quantile(0.99),
-                processor_us / u128::from(times.len().max(1)),
+                cpu_us / u128::from(times.len().max(1)),
             );
             percentiles.push((times.value_at_quantile(0.5), times.value_at_quantile(0.99)));
         }
--- a/benches/mesh.rs
+++ b/benches/mesh.rs
@@ -1,4 +1,4 @@
-//! Measures convergence times, store calls, processor time and memory of mesh
+//! Measures convergence times, store calls, CPU time and memory of mesh
 //! daemons that run against stand-ins of the users' platform. The figures are
 //! printed, never asserted.
 
@@ -21,7 +21,7 @@
 const VERSIONS: u64 = 20;
 /// Pause after each published version.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(500);
-/// Calls made to measure the processor time per call.
+/// Calls made to measure the CPU time per call.
 const CALLS: usize = 4_000;
 /// Concurrent connections that make the calls.
 const CONNECTIONS: usize = 8;
@@ -65,8 +65,8 @@
     times
 }
 
-/// Processor time that all daemons have used so far.
-fn total_processor_time(fleet: &Fleet) -> Duration {
+/// CPU time that all daemons have used so far.
+fn total_cpu_time(fleet: &Fleet) -> Duration {
     fleet
         .hosts
         .iter()
@@ -76,9 +76,9 @@
 }
 
 /// Makes calls through the first host, which has no target of the service, and
-/// returns the processor time of all daemons per call.
-async fn processor_per_call(fleet: &Fleet) -> Duration {
-    let before = total_processor_time(fleet);
+/// returns the CPU time of all daemons per call.
+async fn cpu_time_per_call(fleet: &Fleet) -> Duration {
+    let before = total_cpu_time(fleet);
     let address = fleet.hosts[0].calls;
     let mut tasks = Vec::new();
     for connection in 0..CONNECTIONS {
@@ -99,7 +99,7 @@
         task.await.expect("a client");
     }
     let calls = u32::try_from(CALLS).expect("a count");
-    total_processor_time(fleet).saturating_sub(before) / calls
+    total_cpu_time(fleet).saturating_sub(before) / calls
 }
 
 #[tokio::main]
@@ -120,7 +120,7 @@
         let feeds = fleet.store.calls("/rows-feed");
         let times = convergence_times(&fleet).await;
         let feeds = fleet.store.calls("/rows-feed") - feeds;
-        let per_call = processor_per_call(&fleet).await;
+        let per_call = cpu_time_per_call(&fleet).await;
         let resident = fleet
             .hosts
             .iter()
--- a/tests/convergence_faults.rs
+++ b/tests/convergence_faults.rs
@@ -12,8 +12,8 @@
 use nix::sys::signal::Signal;
 use rstest::rstest;
 use support::{
-    assert_versions_never_go_back, eventually, example_tree_with_timeout, get, mesh_spec,
-    relay_index, start_mesh_with_example, status, wait_in_force_on, DAEMON_EXE, WAIT_TIMEOUT,
+    assert_no_version_regressions, eventually, example_tree_with_timeout, get, mesh_spec,
+    relay_index, start_mesh_with_example, status, wait_until_applied_on, DAEMON_EXE, WAIT_TIMEOUT,
 };
 
 /// A fault in a mesh of two zones with four daemons each, which all have version 1
@@ -174,7 +174,7 @@
         UpdatedDaemons::None => Vec::new(),
     };
     assert!(
-        wait_in_force_on(&mesh, &updated, 2).await,
+        wait_until_applied_on(&mesh, &updated, 2).await,
         "version 2 not in force during the fault"
     );
     if case.updated == UpdatedDaemons::None {
@@ -193,7 +193,7 @@
     }
     let everywhere: Vec<usize> = (0..mesh.daemons.len()).collect();
     assert!(
-        wait_in_force_on(&mesh, &everywhere, 2).await,
+        wait_until_applied_on(&mesh, &everywhere, 2).await,
         "version 2 not in force after the fault"
     );
     let has_relay = eventually(WAIT_TIMEOUT, || async {
@@ -203,10 +203,10 @@
     mesh.publish(3, &example_tree_with_timeout(1_800), None)
         .await;
     assert!(
-        wait_in_force_on(&mesh, &everywhere, 3).await,
+        wait_until_applied_on(&mesh, &everywhere, 3).await,
         "version 3 not in force after the fault"
     );
-    assert_versions_never_go_back(&mesh);
+    assert_no_version_regressions(&mesh);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
@@ -228,7 +228,7 @@
     }
     let everywhere: Vec<usize> = (0..mesh.daemons.len()).collect();
     assert!(
-        wait_in_force_on(&mesh, &everywhere, 1).await,
+        wait_until_applied_on(&mesh, &everywhere, 1).await,
         "version 1 not in force after the restart"
     );
     let reads = mesh.platform.store.stats().since(before).total_reads();
@@ -238,5 +238,5 @@
     let polls = started.elapsed().as_millis() / 100 * 2 * 2;
     let allowed = u64::try_from(polls).unwrap_or(u64::MAX) + 24 * 8;
     assert!(reads <= allowed, "{reads} reads, {allowed} allowed");
-    assert_versions_never_go_back(&mesh);
+    assert_no_version_regressions(&mesh);
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -91,7 +91,7 @@
 /// Waits until the daemons at `indices` all have version `number` in force.
 /// Returns false when one of them doesn't within [`WAIT_TIMEOUT`], after printing
 /// the logs of its zone.
-pub async fn wait_in_force_on(mesh: &LocalMesh, indices: &[usize], number: u64) -> bool {
+pub async fn wait_until_applied_on(mesh: &LocalMesh, indices: &[usize], number: u64) -> bool {
     for index in indices {
         let daemon = &mesh.daemons[*index];
         let applied = eventually(WAIT_TIMEOUT, || async {
@@ -126,7 +126,7 @@
 }
 
 /// Asserts that no daemon has applied an older version after a newer one so far.
-pub fn assert_versions_never_go_back(mesh: &LocalMesh) {
+pub fn assert_no_version_regressions(mesh: &LocalMesh) {
     let history = applied_history(mesh);
     assert!(!history.is_empty(), "no history recorded");
     assert_eq!(
