--- a/tests/mesh_logs.rs
+++ b/tests/mesh_logs.rs
@@ -9,7 +9,7 @@
 use filbert_platform_standin::host::call_headers;
 use filbert_platform_standin::{Client, Host, RouteSpec, StandinStore, TargetBehaviour};
 use rstest::rstest;
-use users::{eventually, eventually_logs, fleet, host_spec, publish, SETTLE_WITHIN};
+use users::{eventually, eventually_logs, fleet, host_spec, publish, WAIT_TIMEOUT};
 
 const READ: &str = "GET /read/a HTTP/1.1";
 const ORDER: &str = "POST /order/a HTTP/1.1";
@@ -31,7 +31,7 @@
     let mut spec = host_spec(&store, "quoter", "a", "quotes");
     spec.has_unread_stdout = true;
     let host = Host::start(spec).await;
-    let is_serving = eventually(SETTLE_WITHIN, || async {
+    let is_serving = eventually(WAIT_TIMEOUT, || async {
         let answer = host.call(READ, "warm", b"").await;
         answer.is_some_and(|answer| answer.status == 200)
     })
--- a/tests/mesh_stops.rs
+++ b/tests/mesh_stops.rs
@@ -8,7 +8,7 @@
 
 use filbert_platform_standin::{RouteSpec, StoreFault, TargetBehaviour};
 use nix::sys::signal::Signal;
-use users::{eventually, eventually_logs, fleet, pair, reload_with, Fleet, SETTLE_WITHIN};
+use users::{eventually, eventually_logs, fleet, reload_with, two_host_fleet, Fleet, WAIT_TIMEOUT};
 
 const READ: &str = "GET /read/a HTTP/1.1";
 const ORDER: &str = "POST /order/a HTTP/1.1";
@@ -27,12 +27,12 @@
 /// answer, and exit by itself.
 #[tokio::test]
 async fn a_stop_lets_calls_of_clients_end() {
-    let mut fleet = pair("a").await;
+    let mut fleet = two_host_fleet("a").await;
     fleet.hosts[1]
         .target
         .set_behaviour(TargetBehaviour::RespondsAfter(Duration::from_millis(1_300)));
     let mut idle = fleet.connect(0).await;
-    let mut busy = fleet.call_under_way(ORDER, "order-1").await;
+    let mut busy = fleet.start_call(ORDER, "order-1").await;
     fleet.hosts[0].signal(Signal::SIGTERM);
     let early = fleet.hosts[0].call(READ, "early", b"");
     let (early, ()) = tokio::join!(early, fail_two_readiness_checks(&fleet, 0));
@@ -52,11 +52,11 @@
 /// host must get its whole answer, and a new call must be refused rather than lost.
 #[tokio::test]
 async fn a_stop_lets_calls_of_other_hosts_end() {
-    let mut fleet = pair("a").await;
+    let mut fleet = two_host_fleet("a").await;
     fleet.hosts[1]
         .target
         .set_behaviour(TargetBehaviour::RespondsAfter(Duration::from_millis(1_300)));
-    let mut busy = fleet.call_under_way(ORDER, "order-1").await;
+    let mut busy = fleet.start_call(ORDER, "order-1").await;
     fleet.hosts[1].signal(Signal::SIGTERM);
     fail_two_readiness_checks(&fleet, 1).await;
     assert_eq!(busy.answer().await.expect("the whole answer").status, 200);
@@ -78,10 +78,10 @@
 #[tokio::test]
 async fn a_stop_waits_for_an_answer_on_a_slow_link() {
     const LENGTH: usize = 200_000;
-    let mut fleet = pair("a").await;
+    let mut fleet = two_host_fleet("a").await;
     reload_with(&fleet.hosts[1], "[link]\nmbps = 0.7\n").await;
     fleet.hosts[1].target.set_body_bytes(LENGTH);
-    let mut busy = fleet.call_under_way(READ, "read-1").await;
+    let mut busy = fleet.start_call(READ, "read-1").await;
     fleet.hosts[1].signal(Signal::SIGTERM);
     let (answer, ()) = tokio::join!(busy.answer(), fail_two_readiness_checks(&fleet, 1));
     let answer = answer.expect("the whole answer");
@@ -97,7 +97,7 @@
 /// it is killed.
 #[tokio::test]
 async fn a_stop_without_readiness_checks_ends_within_the_grace_time() {
-    let mut fleet = pair("a").await;
+    let mut fleet = two_host_fleet("a").await;
     fleet.hosts[0].signal(Signal::SIGTERM);
     assert!(
         fleet.hosts[0]
@@ -110,7 +110,7 @@
 /// must be served all the time, and the last valid settings must be in force.
 #[tokio::test]
 async fn a_reload_applies_valid_settings_and_keeps_serving() {
-    let fleet = pair("a").await;
+    let fleet = two_host_fleet("a").await;
     let path = &fleet.hosts[0].settings_path;
     let text = std::fs::read_to_string(path).expect("the settings");
     std::fs::write(
@@ -166,7 +166,7 @@
     ];
     client.send(READ, &headers, b"").await.expect("sent");
     let target = &fleet.hosts[1].target;
-    assert!(eventually(SETTLE_WITHIN, || async { target.runs().len() == 1 }).await);
+    assert!(eventually(WAIT_TIMEOUT, || async { target.runs().len() == 1 }).await);
     let control = fleet.hosts[1].control;
     assert_eq!(fleet.hosts[1].target.deregister(control).await, 200);
     fleet.store.set_fault(StoreFault::NeverResponds);
