--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -47,7 +47,7 @@
 /// A report as a person reads it: what failed and where in one line, the causes
 /// below it, no backtrace (that is for `{report:?}`).
 #[must_use]
-pub fn for_people<C>(report: &Report<C>) -> String {
+pub fn format_report<C>(report: &Report<C>) -> String {
     let mut lines: Vec<String> = Vec::new();
     let mut details: Vec<String> = Vec::new();
     for frame in report.frames() {
--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use clap::Parser;
-use filbert_ctl::error::for_people;
+use filbert_ctl::error::format_report;
 use filbert_ctl::{cmd, Cli};
 
 use crate::mesh::LocalMesh;
@@ -109,7 +109,7 @@
     args.extend_from_slice(words);
     let cli = Cli::try_parse_from(args).map_err(|error| error.to_string())?;
     cmd::run(cli).await.map_err(|report| {
-        let text = for_people(&report);
+        let text = format_report(&report);
         println!("filbertctl: {text}");
         text
     })
--- a/src/bin/filbertctl.rs
+++ b/src/bin/filbertctl.rs
@@ -3,7 +3,7 @@
 use std::process::ExitCode;
 
 use clap::Parser;
-use filbert_ctl::error::for_people;
+use filbert_ctl::error::format_report;
 use filbert_ctl::{cmd, Cli};
 
 fn main() -> ExitCode {
@@ -22,7 +22,7 @@
     match runtime.block_on(cmd::run(cli)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
-            eprintln!("filbertctl: {}", for_people(&report));
+            eprintln!("filbertctl: {}", format_report(&report));
             report.current_context().exit_code()
         }
     }
--- a/src/bin/filbertd.rs
+++ b/src/bin/filbertd.rs
@@ -5,7 +5,7 @@
 
 use clap::{Parser, Subcommand};
 use error_stack::Report;
-use filbert_ctl::error::for_people;
+use filbert_ctl::error::format_report;
 use filbert_daemon::DaemonSettings;
 use filbert_mesh::{logging, MeshSettings};
 
@@ -72,7 +72,7 @@
     let settings = match MeshSettings::load(&path) {
         Ok(settings) => settings,
         Err(report) => {
-            eprintln!("filbertd: {}", for_people(&report));
+            eprintln!("filbertd: {}", format_report(&report));
             return ExitCode::from(2);
         }
     };
@@ -95,7 +95,7 @@
     let settings = match DaemonSettings::load(path) {
         Ok(settings) => settings,
         Err(report) => {
-            eprintln!("filbertd: {}", for_people(&report));
+            eprintln!("filbertd: {}", format_report(&report));
             return ExitCode::from(2);
         }
     };
@@ -123,7 +123,7 @@
     match run(&runtime) {
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
-            eprintln!("filbertd: {}", for_people(&report));
+            eprintln!("filbertd: {}", format_report(&report));
             ExitCode::FAILURE
         }
     }
--- a/tests/messages_for_people.rs
+++ b/tests/messages_for_people.rs
@@ -80,7 +80,7 @@
     let report = error_stack::Report::new(filbert_ctl::error::CtlError::BadInput)
         .attach("route names unknown service `nowhere`");
     assert_eq!(
-        filbert_ctl::error::for_people(&report),
+        filbert_ctl::error::format_report(&report),
         "bad input (route names unknown service `nowhere`)"
     );
 }
