--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -1,27 +1,29 @@
-//! What became of one call, told from the logs of the daemons it crossed.
+//! Reconstructs what happened to one call from the logs of the daemons that handled it.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// One line of a daemon's log.
+/// One parsed line of a daemon's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLine {
-    /// The daemon: the file it came from, or what stood before the line.
+    /// The daemon that wrote the line: the last word in front of `ts=` if there is
+    /// one, otherwise the name of the log file.
     pub source: String,
-    /// Its time as written; sorts as text.
+    /// Timestamp (`ts=`) as written. Timestamps sort as text.
     pub time: String,
-    /// Every `key=value` of the line.
+    /// Values of the line's `key=value` pairs, by key.
     pub fields: BTreeMap<String, String>,
 }
 
 impl LogLine {
-    /// Reads a line. What stands before `ts=` (a collector's own columns) is
-    /// kept as its source; lines without `ts=` and `event=` are none of ours.
+    /// Parses a line of `file`. Log collectors put columns of their own in front of
+    /// `ts=`; the last of them is taken as the source. Returns `None` if the line has
+    /// no `ts=` or no `event=`, as a daemon did not write it.
     #[must_use]
     pub fn parse(line: &str, file: &str) -> Option<LogLine> {
         let start = line.find("ts=")?;
         let prefix = line[..start].split_whitespace().last();
-        let fields = fields_of(&line[start..]);
+        let fields = parse_fields(&line[start..]);
         fields.get("event")?;
         Some(LogLine {
             source: prefix.unwrap_or(file).to_owned(),
@@ -34,22 +36,22 @@
         self.fields.get(key).map_or("-", String::as_str)
     }
 
-    /// The identity of the call that it is about.
+    /// Returns the identity of the call that the line is about.
     fn call(&self) -> Option<&str> {
         self.fields.get("call").map(String::as_str)
     }
 
-    /// What the line says, in a sentence.
+    /// Describes the event of the line in a sentence.
     #[must_use]
-    pub fn sentence(&self) -> String {
+    pub fn describe(&self) -> String {
         let get = |key| self.get(key);
         match get("event") {
             "attempt_ended" => format!(
-                "tried {} ({}): {}; {}. It then looked {} of {} slots busy, runs took {} ms, {} of its runs ended ill; {} targets to choose from",
+                "tried {} ({}): {}; {}. Load known at that time: {} of {} slots busy, average run time {} ms, failure rate {}; {} candidate targets",
                 get("host"),
                 if get("in_zone") == "true" { "own zone" } else { "another zone" },
-                ending(get("end")),
-                following(get("next")),
+                describe_attempt_end(get("end")),
+                describe_next_step(get("next")),
                 get("occupancy"),
                 get("slots"),
                 get("run_ms"),
@@ -57,7 +59,7 @@
                 get("candidates"),
             ),
             "gate_declined" => format!(
-                "turned away in front of the target ({}) after {} ms: {} running and {} waiting for {} slots, runs take {} ms, {} ms to its aim; room expected in {} ms",
+                "declined in front of the target ({}) after {} ms: {} running and {} waiting for {} slots, average run time {} ms, soft deadline in {} ms; room expected in {} ms",
                 get("reason"),
                 get("waited_ms"),
                 get("running"),
@@ -68,7 +70,7 @@
                 get("room_in_ms"),
             ),
             "gate_ran" => format!(
-                "at instance {} after waiting {} ms: {} after {} ms ({})",
+                "dispatched to instance {} after waiting {} ms: {} after {} ms ({})",
                 get("instance"),
                 get("waited_ms"),
                 get("verdict"),
@@ -76,12 +78,12 @@
                 get("reason"),
             ),
             "gate_held_back" => format!(
-                "refused in front of the target: the call is held back for {} ms more",
+                "refused in front of the target: the call is held back for another {} ms",
                 get("left_ms"),
             ),
             "call_ended" => format!(
-                "{} with status {} after {} ms (aim {} ms), reason {}; route {} to service {} in version {}, {} attempts, {} of them declined{}{}",
-                outcome(get("outcome")),
+                "{}, status {}, after {} ms (soft deadline {} ms), reason {}; route {} to service {} in version {}, {} attempts, {} of them declined{}{}",
+                describe_outcome(get("outcome")),
                 get("status"),
                 get("took_ms"),
                 get("aim_ms"),
@@ -93,40 +95,41 @@
                 get("declines"),
                 match get("software") {
                     "" | "-" => String::new(),
-                    software => format!("; last tried at a target of software {software}"),
+                    software => format!("; last attempt at a target with software version {software}"),
                 },
                 match get("come_back_ms") {
                     "0" | "-" => String::new(),
-                    after => format!("; told to come back after {after} ms"),
+                    after => format!("; asked to retry after {after} ms"),
                 },
             ),
-            _ => self.belief(),
+            _ => self.describe_state_change(),
         }
     }
 
-    /// What the line says of what a daemon came to believe, in words.
-    fn belief(&self) -> String {
+    /// Describes an event that changes a daemon's state; returns the name of an event
+    /// that has no description.
+    fn describe_state_change(&self) -> String {
         let get = |key| self.get(key);
         match get("event") {
             "call_suspected" => format!(
-                "{} in a row ended under call {} (heard from: {})",
-                targets(get("strikes")),
+                "{} in a row crashed while running call {} (source: {})",
+                format_target_count(get("strikes")),
                 get("call"),
                 get("from"),
             ),
             "call_held" => format!(
-                "call {} is held back from now on: three targets ended under it (heard from: {})",
+                "call {} is held back from now on: three targets crashed while running it (source: {})",
                 get("call"),
                 get("from"),
             ),
-            "call_tried" => format!("call {} is tried once", get("call")),
+            "call_tried" => format!("call {} runs once as a probe", get("call")),
             "call_cleared" => format!(
-                "call {} is cleared: a target ran it well (heard from: {})",
+                "call {} is cleared: a target ran it successfully, or an operator released it (source: {})",
                 get("call"),
                 get("from"),
             ),
             "rollout_stage" => format!(
-                "roll-out of {} to {}: {} ({}), decided by {}, heard from {}",
+                "roll-out of {} to {}: {} ({}), decided by {}, source {}",
                 get("service"),
                 get("to"),
                 get("stage"),
@@ -139,48 +142,52 @@
     }
 }
 
-fn targets(count: &str) -> String {
+/// Formats a number of targets.
+fn format_target_count(count: &str) -> String {
     match count {
         "1" => "one target".to_owned(),
         count => format!("{count} targets"),
     }
 }
 
-fn ending(end: &str) -> &str {
+/// Describes the end of an attempt: an `AttemptEnd`, as `end=` names it.
+fn describe_attempt_end(end: &str) -> &str {
     match end {
-        "HeldBack" => "refused in front of the target, as it is held back",
-        "Declined" => "declined before the target saw it",
-        "Rejected" => "the target said that it did not run it",
-        "Lost" => "sent, but no whole answer came",
-        "AnsweredFailure" => "the target ran it and failed",
+        "HeldBack" => "refused in front of the target, because the call is held back",
+        "Declined" => "declined before it reached the target",
+        "Rejected" => "rejected by the target, which did not run it",
+        "Lost" => "sent, but no complete answer arrived",
+        "AnsweredFailure" => "answered by the target with a failure status",
         other => other,
     }
 }
 
-fn following(next: &str) -> &str {
+/// Describes what followed an attempt: a `NextStep`, as `next=` names it.
+fn describe_next_step(next: &str) -> &str {
     match next {
         "SendAgain" => "sent to another target",
-        "SayNotRun" => "refused, as it has not run",
-        "SayUnknown" => "ended as unknown, as it may have run",
-        "PassOn" => "the answer was passed on",
+        "SayNotRun" => "refused, as the call did not run",
+        "SayUnknown" => "ended with an unknown outcome, as the call may have run",
+        "PassOn" => "the answer was forwarded",
         other => other,
     }
 }
 
-fn outcome(outcome: &str) -> &str {
+/// Describes the outcome of a call, as `outcome=` names it.
+fn describe_outcome(outcome: &str) -> &str {
     match outcome {
         "answered" => "answered",
         "target_failed" => "answered with the target's own failure",
-        "refused" => "refused, certainly not run",
-        "unknown" => "ended as unknown",
-        "timed_out" => "ended at the route's timeout",
+        "refused" => "refused without having run",
+        "unknown" => "ended with an unknown outcome",
+        "timed_out" => "ended by the route's timeout",
         "no_route" => "no route matches",
         other => other,
     }
 }
 
-/// Splits `key=value key="quoted value"`.
-fn fields_of(text: &str) -> BTreeMap<String, String> {
+/// Parses text of the form `key=value key="quoted value"`.
+fn parse_fields(text: &str) -> BTreeMap<String, String> {
     let mut fields = BTreeMap::new();
     let mut rest = text.trim();
     while let Some((key, after)) = rest.split_once('=') {
@@ -194,20 +201,22 @@
     fields
 }
 
-/// The story of one call.
+/// What the logs tell about one call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CallStory {
-    /// The lines on it, in order of time.
+pub struct CallTrace {
+    /// Lines about the call, in order of time.
     pub lines: Vec<LogLine>,
-    /// Changes of belief shortly before its last line, on the daemons that it
-    /// crossed.
-    pub context: Vec<LogLine>,
-    /// Lines that those daemons left out, as far as they say so.
-    pub left_out: u64,
+    /// The last state changes before the call's last line, in order of time, on
+    /// the daemons that logged the call.
+    pub state_changes: Vec<LogLine>,
+    /// Number of notable lines that these daemons suppressed under load, as reported
+    /// by their `lines_held_back` events.
+    pub suppressed_lines: u64,
 }
 
-/// Events that change what a daemon believes, which may explain a call.
-const BELIEFS: [&str; 12] = [
+/// Events that change the state from which a daemon decides, and so may explain what
+/// happened to a call.
+const STATE_CHANGE_EVENTS: [&str; 12] = [
     "version_in_force",
     "target_report",
     "target_leaves",
@@ -221,48 +230,49 @@
     "stop_ordered",
     "started",
 ];
-/// Changes of belief shown: the newest tell most.
-const MOST_CONTEXT: usize = 12;
+/// Maximum number of state changes shown. The newest are kept, as they explain most.
+const MAX_STATE_CHANGES: usize = 12;
 
-/// Gathers what `lines` say of the try with request id `id`, or of all tries of
-/// the call with that identity; `None` when nothing does.
+/// Collects the lines about the request with id `id`, or about all requests of the
+/// call with identity `id`. Returns `None` if there are none.
 #[must_use]
-pub fn story_of(id: &str, lines: &[LogLine]) -> Option<CallStory> {
-    let tries = lines.iter().filter(|line| line.get("request") == id);
-    let calls: Vec<&str> = tries.filter_map(|line| line.call()).collect();
-    let is_own = |line: &&LogLine| {
-        // What daemons came to believe of the call names no try of it.
-        let is_belief = !line.fields.contains_key("request");
-        let is_of_call = line.call().is_some_and(|call| calls.contains(&call));
-        line.get("request") == id || line.call() == Some(id) || (is_belief && is_of_call)
+pub fn trace_call(id: &str, lines: &[LogLine]) -> Option<CallTrace> {
+    let requests = lines.iter().filter(|line| line.get("request") == id);
+    let calls: Vec<&str> = requests.filter_map(|line| line.call()).collect();
+    let is_about_call = |line: &&LogLine| {
+        // Lines about a call's quarantine state carry no request id.
+        let has_no_request = !line.fields.contains_key("request");
+        let is_same_call = line.call().is_some_and(|call| calls.contains(&call));
+        line.get("request") == id || line.call() == Some(id) || (has_no_request && is_same_call)
     };
-    let mut own: Vec<LogLine> = lines.iter().filter(is_own).cloned().collect();
-    own.sort_by(|one, other| one.time.cmp(&other.time));
-    let last = own.last()?.time.clone();
-    let crossed: Vec<&str> = own.iter().map(|line| line.source.as_str()).collect();
-    let here = |line: &&LogLine| crossed.contains(&line.source.as_str());
-    let mut context: Vec<LogLine> = lines
+    let mut call_lines: Vec<LogLine> = lines.iter().filter(is_about_call).cloned().collect();
+    call_lines.sort_by(|left, right| left.time.cmp(&right.time));
+    let last = call_lines.last()?.time.clone();
+    let sources: Vec<&str> = call_lines.iter().map(|line| line.source.as_str()).collect();
+    let is_from_sources = |line: &&LogLine| sources.contains(&line.source.as_str());
+    let mut state_changes: Vec<LogLine> = lines
         .iter()
-        .filter(here)
-        .filter(|line| BELIEFS.contains(&line.get("event")) && line.time <= last)
+        .filter(is_from_sources)
+        .filter(|line| STATE_CHANGE_EVENTS.contains(&line.get("event")) && line.time <= last)
         .cloned()
         .collect();
-    context.sort_by(|one, other| one.time.cmp(&other.time));
-    let context = context.split_off(context.len().saturating_sub(MOST_CONTEXT));
-    let left_out = lines
+    state_changes.sort_by(|left, right| left.time.cmp(&right.time));
+    let state_changes =
+        state_changes.split_off(state_changes.len().saturating_sub(MAX_STATE_CHANGES));
+    let suppressed_lines = lines
         .iter()
-        .filter(here)
+        .filter(is_from_sources)
         .filter(|line| line.get("event") == "lines_held_back")
         .filter_map(|line| line.get("notable").parse::<u64>().ok())
         .sum();
-    Some(CallStory {
-        lines: own,
-        context,
-        left_out,
+    Some(CallTrace {
+        lines: call_lines,
+        state_changes,
+        suppressed_lines,
     })
 }
 
-impl fmt::Display for CallStory {
+impl fmt::Display for CallTrace {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         for line in &self.lines {
             writeln!(
@@ -270,16 +280,13 @@
                 "{} {}: {}",
                 line.time,
                 line.source,
-                line.sentence()
+                line.describe()
             )?;
         }
-        if !self.context.is_empty() {
-            writeln!(
-                formatter,
-                "\nwhat these daemons had come to believe before:"
-            )?;
+        if !self.state_changes.is_empty() {
+            writeln!(formatter, "\nstate changes on these daemons before:")?;
         }
-        for line in &self.context {
+        for line in &self.state_changes {
             let details: Vec<String> = line
                 .fields
                 .iter()
@@ -295,11 +302,11 @@
                 details.join(" ")
             )?;
         }
-        if self.left_out > 0 {
+        if self.suppressed_lines > 0 {
             writeln!(
                 formatter,
-                "\nthese daemons held back {} lines on calls under load; some may be of this one",
-                self.left_out
+                "\nthese daemons suppressed {} lines about calls under load; some may be about this call",
+                self.suppressed_lines
             )?;
         }
         Ok(())
