--- a/crates/ctl/src/cmd/report.rs
+++ b/crates/ctl/src/cmd/report.rs
@@ -1,4 +1,5 @@
-//! `filbertctl report sample` and `filbertctl report burn`.
+//! `filbertctl report sample` and `filbertctl report burn`: samples the daemons' call
+//! counters, and reports burn rates from the samples.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -14,7 +15,7 @@
 use crate::report::sample::CallSample;
 use crate::store::CtlResult;
 
-/// How long one daemon may take to answer.
+/// Timeout of a request for one daemon's metrics.
 const DAEMON_TIMEOUT: Duration = Duration::from_secs(2);
 
 pub(super) async fn run(command: ReportCommand) -> CtlResult<()> {
@@ -24,25 +25,25 @@
     }
 }
 
-/// Appends one sample of each daemon to the file. A daemon that does not
-/// answer is named and passed over.
+/// Appends one sample of each daemon to the file `out`. Daemons that do not answer are
+/// skipped with a message on standard error.
 async fn sample(daemons: &[String], out: &Path) -> CtlResult<()> {
     let http = reqwest::Client::new();
     let at = SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .map_or(0, |since| since.as_secs());
+        .map_or(0, |since_epoch| since_epoch.as_secs());
     let mut lines = String::new();
     for daemon in daemons {
-        match metrics(&http, daemon).await {
-            Ok(metrics) => {
-                let sample = CallSample::from_metrics(at, daemon, &metrics);
+        match fetch_counters(&http, daemon).await {
+            Ok(counters) => {
+                let sample = CallSample::from_metrics(at, daemon, &counters);
                 lines.push_str(&serde_json::to_string(&sample).change_context(CtlError::Platform)?);
                 lines.push('\n');
             }
-            Err(error) => eprintln!("filbertctl: {daemon} gave no counters: {error}"),
+            Err(error) => eprintln!("filbertctl: cannot read the counters of {daemon}: {error}"),
         }
     }
-    let taken = lines.lines().count();
+    let sampled = lines.lines().count();
     let mut file = std::fs::OpenOptions::new()
         .create(true)
         .append(true)
@@ -52,11 +53,15 @@
     file.write_all(lines.as_bytes())
         .change_context(CtlError::BadInput)
         .attach(format!("file {}", out.display()))?;
-    println!("{taken} of {} daemons sampled", daemons.len());
+    println!("{sampled} of {} daemons sampled", daemons.len());
     Ok(())
 }
 
-async fn metrics(http: &reqwest::Client, daemon: &str) -> reqwest::Result<BTreeMap<String, u64>> {
+/// Fetches the counters in a daemon's `/metrics`, by name.
+async fn fetch_counters(
+    http: &reqwest::Client,
+    daemon: &str,
+) -> reqwest::Result<BTreeMap<String, u64>> {
     let url = format!("{}/metrics", daemon.trim_end_matches('/'));
     http.get(url)
         .timeout(DAEMON_TIMEOUT)
@@ -70,7 +75,7 @@
 fn burn(args: &BurnArgs) -> CtlResult<()> {
     if !(0.0..1.0).contains(&args.objective) {
         return Err(Report::new(CtlError::BadInput)
-            .attach("the objective must be at least 0 and below 1, such as 0.999"));
+            .attach("the objective must be at least 0 and below 1, for example 0.999"));
     }
     let settings = BurnSettings {
         objective: args.objective,
@@ -78,8 +83,10 @@
         long: Duration::from_secs(args.long),
     };
     let report = BurnReport::new(&read_samples(&args.samples)?, settings).ok_or_else(|| {
-        Report::new(CtlError::BadInput)
-            .attach(format!("file {} holds no samples", args.samples.display()))
+        Report::new(CtlError::BadInput).attach(format!(
+            "file {} contains no samples",
+            args.samples.display()
+        ))
     })?;
     print!("{report}");
     if let Some(path) = &args.svg {
--- a/crates/ctl/src/report/burn.rs
+++ b/crates/ctl/src/report/burn.rs
@@ -1,7 +1,6 @@
-//! Service-level burn: how fast each service uses up its error budget, over a
-//! short and a long window. A rate of 1 uses exactly the budget that the
-//! objective leaves; both windows far above 1 mean that something is wrong now
-//! and has been for a while.
+//! Burn rates: how fast each service uses up its error budget, over a short and a long
+//! window. A burn rate of 1 uses exactly the budget that the objective leaves. Rates far
+//! above 1 in both windows mean that a problem exists now and has lasted for a while.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,60 +8,60 @@
 
 use super::sample::{CallSample, CallTotals};
 
-/// What the report is made with.
+/// Objective and windows of a burn report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BurnSettings {
-    /// Share of calls that must end well, such as 0.999.
+    /// Fraction of calls that must succeed, such as 0.999.
     pub objective: f64,
-    /// The short window.
+    /// Length of the short window.
     pub short: Duration,
-    /// The long window.
+    /// Length of the long window.
     pub long: Duration,
 }
 
-/// Calls added between two samples of a daemon, at the later one's time.
+/// Calls counted between two consecutive samples of a daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BurnStep {
-    /// Seconds since the Unix epoch.
+pub struct CallIncrement {
+    /// Time of the later sample in seconds since the Unix epoch.
     pub at: u64,
-    /// Calls added.
+    /// Calls counted between the samples.
     pub calls: CallTotals,
 }
 
-/// One service's burn.
+/// Burn rates of one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceBurn {
-    /// The service.
+    /// Name of the service.
     pub service: String,
     /// Calls in the long window.
     pub calls: CallTotals,
-    /// Burn rate over the short window; `None` without calls in it.
+    /// Burn rate over the short window; `None` if it has no calls.
     pub short: Option<f64>,
-    /// Burn rate over the long window; `None` without calls in it.
+    /// Burn rate over the long window; `None` if it has no calls.
     pub long: Option<f64>,
-    /// Every step of the long window, in order of time, for the plot.
-    pub steps: Vec<BurnStep>,
+    /// Increments in the long window, in order of time, for the plot.
+    pub increments: Vec<CallIncrement>,
 }
 
-/// The burn of every service, as of the newest sample.
+/// Burn rates of all services at the time of the newest sample.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BurnReport {
-    /// What it was made with.
+    /// Objective and windows of the report.
     pub settings: BurnSettings,
-    /// When the newest sample was taken, in seconds since the Unix epoch.
+    /// Time of the newest sample in seconds since the Unix epoch.
     pub as_of: u64,
-    /// Services, the fastest burning over the long window first.
+    /// Services, sorted by the burn rate over the long window, highest first.
     pub services: Vec<ServiceBurn>,
 }
 
 impl BurnReport {
-    /// Makes the report from samples in any order; `None` without samples.
+    /// Computes the report from samples in any order; `None` if there are none.
     #[must_use]
     pub fn new(samples: &[CallSample], settings: BurnSettings) -> Option<BurnReport> {
         let as_of = samples.iter().map(|sample| sample.at).max()?;
-        let mut services: Vec<ServiceBurn> = steps_by_service(samples)
+        let mut services: Vec<ServiceBurn> = increments_by_service(samples)
             .into_iter()
-            .map(|(service, steps)| service_burn(service, &steps, as_of, settings))
+            .map(|(service, increments)| service_burn(service, &increments, as_of, settings))
             .collect();
         services.sort_by(|left, right| {
             let rate = |burn: &ServiceBurn| burn.long.unwrap_or(0.0);
@@ -78,59 +77,65 @@
     }
 }
 
-/// The calls added from sample to sample of each daemon, by service.
-fn steps_by_service(samples: &[CallSample]) -> BTreeMap<String, Vec<BurnStep>> {
+/// Computes the calls counted between consecutive samples of each daemon, by service.
+fn increments_by_service(samples: &[CallSample]) -> BTreeMap<String, Vec<CallIncrement>> {
     let mut ordered: Vec<&CallSample> = samples.iter().collect();
     ordered.sort_by_key(|sample| sample.at);
-    let mut last: BTreeMap<&str, &CallSample> = BTreeMap::new();
-    let mut steps: BTreeMap<String, Vec<BurnStep>> = BTreeMap::new();
+    let mut last_samples: BTreeMap<&str, &CallSample> = BTreeMap::new();
+    let mut increments: BTreeMap<String, Vec<CallIncrement>> = BTreeMap::new();
     for sample in ordered {
-        // A daemon's first sample only sets where it counts from.
-        if let Some(earlier) = last.insert(&sample.daemon, sample) {
+        // The first sample of a daemon is only the base of the next one.
+        if let Some(earlier) = last_samples.insert(&sample.daemon, sample) {
             for (service, totals) in &sample.services {
                 let before = earlier.services.get(service).copied().unwrap_or_default();
-                steps.entry(service.clone()).or_default().push(BurnStep {
-                    at: sample.at,
-                    calls: totals.since(before),
-                });
+                increments
+                    .entry(service.clone())
+                    .or_default()
+                    .push(CallIncrement {
+                        at: sample.at,
+                        calls: totals.since(before),
+                    });
             }
         }
     }
-    steps
+    increments
 }
 
+/// Computes the burn rates of `service` in the windows that end at `as_of`.
 fn service_burn(
     service: String,
-    steps: &[BurnStep],
+    increments: &[CallIncrement],
     as_of: u64,
     settings: BurnSettings,
 ) -> ServiceBurn {
-    let calls = calls_within(steps, as_of, settings.long);
-    let recent = calls_within(steps, as_of, settings.short);
+    let calls = calls_within(increments, as_of, settings.long);
+    let recent = calls_within(increments, as_of, settings.short);
     let start = as_of.saturating_sub(settings.long.as_secs());
     ServiceBurn {
         service,
         calls,
         short: burn_rate(recent, settings.objective),
         long: burn_rate(calls, settings.objective),
-        steps: steps
+        increments: increments
             .iter()
             .copied()
-            .filter(|step| step.at > start)
+            .filter(|increment| increment.at > start)
             .collect(),
     }
 }
 
-fn calls_within(steps: &[BurnStep], as_of: u64, window: Duration) -> CallTotals {
+/// Adds up the calls in the window that ends at `as_of`.
+fn calls_within(increments: &[CallIncrement], as_of: u64, window: Duration) -> CallTotals {
     let start = as_of.saturating_sub(window.as_secs());
     let mut totals = CallTotals::default();
-    for step in steps.iter().filter(|step| step.at > start) {
-        totals.add(step.calls);
+    for increment in increments.iter().filter(|increment| increment.at > start) {
+        totals.add(increment.calls);
     }
     totals
 }
 
-/// Share of bad calls over the share the objective allows.
+/// Returns the fraction of bad calls, divided by the fraction that `objective` allows;
+/// `None` if there are no calls.
 #[must_use]
 #[allow(clippy::cast_precision_loss)] // Call counts stay far below 2^52.
 pub fn burn_rate(calls: CallTotals, objective: f64) -> Option<f64> {
@@ -164,14 +169,15 @@
                 burn.service,
                 burn.calls.good + burn.calls.bad,
                 burn.calls.bad,
-                shown(burn.short),
-                shown(burn.long)
+                format_rate(burn.short),
+                format_rate(burn.long)
             )?;
         }
         Ok(())
     }
 }
 
-fn shown(rate: Option<f64>) -> String {
+/// Formats a burn rate for the table; `-` stands for no calls.
+fn format_rate(rate: Option<f64>) -> String {
     rate.map_or_else(|| "-".to_owned(), |rate| format!("{rate:.2}"))
 }
--- a/crates/ctl/src/report/mod.rs
+++ b/crates/ctl/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! Reports for operators, made from the daemons' counters.
+//! Reports for operators, computed from the daemons' call counters.
 
 pub mod burn;
 pub mod plot;
--- a/crates/ctl/src/report/plot.rs
+++ b/crates/ctl/src/report/plot.rs
@@ -1,4 +1,4 @@
-//! The burn report as an SVG plot: each service's burn rate over time.
+//! Plots the burn report as SVG: each service's burn rate over time.
 
 use std::fmt;
 
@@ -6,49 +6,49 @@
 
 use super::burn::{burn_rate, BurnReport, ServiceBurn};
 
-/// Size of the plot in pixels.
-const SIZE: (u32, u32) = (960, 540);
-/// Services drawn; more would not be told apart.
-const SERVICES_DRAWN: usize = 8;
-/// Lowest top of the vertical axis, so that a quiet day looks quiet.
-const LOWEST_TOP: f64 = 2.0;
+/// Width and height of the plot in pixels.
+const PLOT_SIZE_PX: (u32, u32) = (960, 540);
+/// Maximum number of services plotted; the lines of more could not be told apart.
+const MAX_PLOTTED_SERVICES: usize = 8;
+/// Minimum burn rate at the top of the vertical axis, so that low burn rates look low.
+const MIN_RATE_AXIS_TOP: f64 = 2.0;
 
-/// The plot could not be drawn.
+/// Error of the plotting library.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlotError(String);
 
 impl fmt::Display for PlotError {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "plot not drawn: {}", self.0)
+        write!(formatter, "cannot draw the plot: {}", self.0)
     }
 }
 
 impl std::error::Error for PlotError {}
 
-fn drawing<E: fmt::Display>(error: E) -> PlotError {
+fn plot_error<E: fmt::Display>(error: E) -> PlotError {
     PlotError(error.to_string())
 }
 
-/// Draws `report` as an SVG document.
+/// Plots `report` and returns the SVG document.
 ///
 /// # Errors
-/// [`PlotError`] when the drawing library fails.
+/// [`PlotError`] if the plotting library fails.
 pub fn burn_svg(report: &BurnReport) -> Result<String, PlotError> {
     let mut text = String::new();
-    let drawn: Vec<(&str, Vec<(f64, f64)>)> = report
+    let lines: Vec<(&str, Vec<(f64, f64)>)> = report
         .services
         .iter()
-        .take(SERVICES_DRAWN)
-        .map(|burn| (burn.service.as_str(), points(report, burn)))
+        .take(MAX_PLOTTED_SERVICES)
+        .map(|burn| (burn.service.as_str(), rate_points(report, burn)))
         .collect();
-    let top = drawn
+    let top = lines
         .iter()
         .flat_map(|(_, points)| points)
-        .fold(LOWEST_TOP, |top, (_, rate)| top.max(*rate));
+        .fold(MIN_RATE_AXIS_TOP, |top, (_, rate)| top.max(*rate));
     let start = -report.settings.long.as_secs_f64();
     {
-        let root = SVGBackend::with_string(&mut text, SIZE).into_drawing_area();
-        root.fill(&WHITE).map_err(drawing)?;
+        let root = SVGBackend::with_string(&mut text, PLOT_SIZE_PX).into_drawing_area();
+        root.fill(&WHITE).map_err(plot_error)?;
         let caption = format!("Burn rate, objective {}", report.settings.objective);
         let mut chart = ChartBuilder::on(&root)
             .caption(caption, ("sans-serif", 20))
@@ -56,20 +56,20 @@
             .x_label_area_size(36)
             .y_label_area_size(48)
             .build_cartesian_2d(start..0.0, 0.0..top * 1.05)
-            .map_err(drawing)?;
+            .map_err(plot_error)?;
         chart
             .configure_mesh()
             .x_desc("seconds before the newest sample")
             .y_desc("burn rate")
             .draw()
-            .map_err(drawing)?;
+            .map_err(plot_error)?;
         let budget = LineSeries::new([(start, 1.0), (0.0, 1.0)], BLACK.mix(0.4));
-        chart.draw_series(budget).map_err(drawing)?;
-        for (index, (service, points)) in drawn.into_iter().enumerate() {
+        chart.draw_series(budget).map_err(plot_error)?;
+        for (index, (service, points)) in lines.into_iter().enumerate() {
             let color = Palette99::pick(index).to_rgba();
             chart
                 .draw_series(LineSeries::new(points, color.stroke_width(2)))
-                .map_err(drawing)?
+                .map_err(plot_error)?
                 .label(service)
                 .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color));
         }
@@ -78,25 +78,26 @@
             .background_style(WHITE.mix(0.8))
             .border_style(BLACK.mix(0.4))
             .draw()
-            .map_err(drawing)?;
-        root.present().map_err(drawing)?;
+            .map_err(plot_error)?;
+        root.present().map_err(plot_error)?;
     }
     Ok(text)
 }
 
-/// The burn rate of each sampling time, in seconds before the newest sample.
-#[allow(clippy::cast_precision_loss)] // Windows are hours, not ages.
-fn points(report: &BurnReport, burn: &ServiceBurn) -> Vec<(f64, f64)> {
-    burn.steps
+/// Returns the points of one service's line: the time relative to the newest sample, in
+/// seconds, and the burn rate of all daemons' calls since the samples before.
+#[allow(clippy::cast_precision_loss)] // Windows are hours long, far below 2^52 seconds.
+fn rate_points(report: &BurnReport, burn: &ServiceBurn) -> Vec<(f64, f64)> {
+    burn.increments
         .chunk_by(|left, right| left.at == right.at)
-        .filter_map(|steps| {
+        .filter_map(|increments| {
             let mut calls = super::sample::CallTotals::default();
-            for step in steps {
-                calls.add(step.calls);
+            for increment in increments {
+                calls.add(increment.calls);
             }
             let rate = burn_rate(calls, report.settings.objective)?;
-            let before = report.as_of.saturating_sub(steps[0].at);
-            Some((-(before as f64), rate))
+            let age_s = report.as_of.saturating_sub(increments[0].at);
+            Some((-(age_s as f64), rate))
         })
         .collect()
 }
--- a/crates/ctl/src/report/sample.rs
+++ b/crates/ctl/src/report/sample.rs
@@ -1,24 +1,25 @@
-//! Samples of the daemons' call counters, kept as one JSON object a line.
+//! Samples of the daemons' call counters. A file of samples has one JSON object per line.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Name of the daemon's call counter in `/metrics`.
-const CALLS_COUNTER: &str = "calls{";
+/// Prefix of the names of the call counters in a daemon's `/metrics`. The labels of a
+/// counter follow, and a closing brace.
+const CALLS_COUNTER_PREFIX: &str = "calls{";
 
-/// How many calls of a service ended well and badly.
+/// Numbers of good and bad calls of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallTotals {
-    /// Answered by a target, or from the record of an earlier run.
+    /// Calls answered by a target, or from the record of an earlier run.
     pub good: u64,
-    /// Failed at the target, not run, or ended with an unknown outcome.
+    /// Calls that failed at the target, did not run, or ended with an unknown outcome.
     pub bad: u64,
 }
 
 impl CallTotals {
-    /// What was added since `earlier`. A daemon that restarted counts from
-    /// zero again: then all it has is new.
+    /// Returns the calls counted since `earlier`. A daemon that was restarted counts
+    /// from zero again: if a count has fallen, all of `self` is new.
     #[must_use]
     pub fn since(self, earlier: CallTotals) -> CallTotals {
         if self.good < earlier.good || self.bad < earlier.bad {
@@ -30,33 +31,33 @@
         }
     }
 
-    /// Adds `other`.
+    /// Adds the counts of `other`.
     pub fn add(&mut self, other: CallTotals) {
         self.good += other.good;
         self.bad += other.bad;
     }
 }
 
-/// One daemon's call totals at one time.
+/// Call totals of one daemon at one time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallSample {
-    /// When it was taken, in seconds since the Unix epoch.
+    /// Time of the sample in seconds since the Unix epoch.
     pub at: u64,
-    /// The daemon's admin URL.
+    /// Admin URL of the daemon.
     pub daemon: String,
-    /// Totals by service.
+    /// Call totals by service.
     pub services: BTreeMap<String, CallTotals>,
 }
 
 impl CallSample {
-    /// Reads the call totals out of a daemon's `/metrics`. Calls refused as
-    /// malformed are the caller's fault and count neither way.
+    /// Adds up the call totals from a daemon's `/metrics`. Refused calls are not counted:
+    /// they were malformed, which is the caller's fault.
     #[must_use]
     pub fn from_metrics(at: u64, daemon: &str, metrics: &BTreeMap<String, u64>) -> CallSample {
         let mut services: BTreeMap<String, CallTotals> = BTreeMap::new();
         for (name, count) in metrics {
             let Some(labels) = name
-                .strip_prefix(CALLS_COUNTER)
+                .strip_prefix(CALLS_COUNTER_PREFIX)
                 .and_then(|rest| rest.strip_suffix('}'))
             else {
                 continue;
