--- a/src/bin/filbertctl.rs
+++ b/src/bin/filbertctl.rs
@@ -1,4 +1,5 @@
-//! filbertctl: parses its arguments and dispatches to the subcommand.
+//! Entry point of `filbertctl`: parses the arguments, runs the subcommand, and reports
+//! errors on standard error.
 
 use std::process::ExitCode;
 
--- a/src/bin/filbertd.rs
+++ b/src/bin/filbertd.rs
@@ -1,4 +1,5 @@
-//! filbertd: parses its arguments, loads its settings, and runs the daemon.
+//! Entry point of `filbertd`: parses the arguments, loads the settings, and runs the
+//! daemon.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -9,11 +10,11 @@
 use filbert_daemon::DaemonSettings;
 use filbert_mesh::{logging, MeshSettings};
 
-/// Threads that run the daemon's tasks. Its host's processors belong to the
-/// target beside it.
+/// Number of worker threads of the daemon with filbertladder's own store. It is small, as
+/// the host's processors are for the target.
 const WORKER_THREADS: usize = 2;
 
-/// The filbertladder daemon: one per target host.
+/// The filbertladder daemon, which runs on each host with a target.
 #[derive(Debug, Parser)]
 #[command(
     name = "filbertd",
@@ -22,7 +23,7 @@
     args_conflicts_with_subcommands = true
 )]
 struct Args {
-    /// The daemon's settings file (TOML), for our own store.
+    /// Settings file (TOML) of a daemon with filbertladder's own store.
     #[arg(long, required = true)]
     config: Option<PathBuf>,
     /// Log filter, such as `info` or `debug`; `RUST_LOG` overrides it.
@@ -34,12 +35,12 @@
 
 #[derive(Debug, Subcommand)]
 enum Mode {
-    /// Run on the users' platform.
+    /// Run the daemon on the users' platform.
     Mesh {
-        /// The daemon's settings file (TOML).
+        /// Settings file (TOML) of the daemon.
         #[arg(long, env = filbert_platform::SETTINGS_PATH_VARIABLE)]
         settings: PathBuf,
-        /// Check the settings file and end.
+        /// Check the settings file and exit.
         #[arg(long)]
         check: bool,
         /// Log filter, such as `info` or `debug`; `RUST_LOG` overrides it.
@@ -60,14 +61,15 @@
             }),
             _,
         ) => run_mesh(settings, check, &log),
-        (None, Some(config)) => run_alone(&config, &args.log),
+        (None, Some(config)) => run_with_own_store(&config, &args.log),
         (None, None) => {
-            eprintln!("filbertd: no settings file given");
+            eprintln!("filbertd: no settings file given; use `--config` or the `mesh` subcommand");
             ExitCode::from(2)
         }
     }
 }
 
+/// Runs the daemon on the users' platform, or only checks its settings file.
 fn run_mesh(path: PathBuf, check: bool, log: &str) -> ExitCode {
     let settings = match MeshSettings::load(&path) {
         Ok(settings) => settings,
@@ -77,21 +79,22 @@
         }
     };
     if check {
-        println!("{}: the settings are whole", path.display());
+        println!("{}: the settings are valid", path.display());
         return ExitCode::SUCCESS;
     }
     let _logger = logging::start(log);
-    // One thread: a host gives the daemon a fifth of a core, and parts that
-    // share one thread need no locks.
+    // A single thread: the host gives the daemon a fifth of a core, and tasks on one
+    // thread need no locks.
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
-    finish(runtime, |runtime| {
+    run_to_exit_code(runtime, |runtime| {
         runtime.block_on(filbert_mesh::run(settings, path))
     })
 }
 
-fn run_alone(path: &std::path::Path, log: &str) -> ExitCode {
+/// Runs the daemon with filbertladder's own store.
+fn run_with_own_store(path: &std::path::Path, log: &str) -> ExitCode {
     let settings = match DaemonSettings::load(path) {
         Ok(settings) => settings,
         Err(report) => {
@@ -104,12 +107,14 @@
         .worker_threads(WORKER_THREADS)
         .enable_all()
         .build();
-    finish(runtime, |runtime| {
+    run_to_exit_code(runtime, |runtime| {
         runtime.block_on(filbert_daemon::run(settings))
     })
 }
 
-fn finish<C>(
+/// Calls `run` with the runtime, reports an error on standard error, and returns the exit
+/// code of the process.
+fn run_to_exit_code<C>(
     runtime: std::io::Result<tokio::runtime::Runtime>,
     run: impl FnOnce(&tokio::runtime::Runtime) -> Result<(), Report<C>>,
 ) -> ExitCode {
