--- a/crates/ctl/src/cli.rs
+++ b/crates/ctl/src/cli.rs
@@ -6,8 +6,8 @@
 use clap_complete::Shell;
 use filbert_policy::identity::CallIdentity;
 
-/// Port of the daemons' metrics, unless told otherwise.
-const METRICS_PORT: u16 = 9464;
+/// Default port on which daemons serve their metrics.
+const DEFAULT_METRICS_PORT: u16 = 9464;
 
 /// Edit, accept, watch and withdraw filbertladder settings.
 #[derive(Debug, Parser)]
@@ -20,231 +20,231 @@
         default_value = "http://127.0.0.1:7000"
     )]
     pub platform: String,
-    /// The command.
+    /// The subcommand to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// The subcommands.
+/// The subcommands of `filbertctl`.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Replace the pending tree with a TOML file's tree.
+    /// Replace the pending tree with the settings tree in a TOML file.
     Edit {
-        /// The settings tree file.
+        /// Path of the TOML file.
         #[arg(long)]
         file: PathBuf,
     },
     /// Set one key of a branch in the pending tree.
     Set {
-        /// The branch: site, site/MEMBER, site/MEMBER/SERVICE or site/MEMBER/SERVICE/ROUTE.
+        /// Branch to edit: site, site/MEMBER, site/MEMBER/SERVICE or site/MEMBER/SERVICE/ROUTE.
         branch: String,
-        /// The key, such as `timeout_ms`.
+        /// Key to set, such as `timeout_ms`.
         key: String,
-        /// The new value.
+        /// New value of the key.
         value: String,
     },
     /// Remove a branch and everything below it from the pending tree.
     Remove {
-        /// The branch.
+        /// Branch to remove.
         branch: String,
     },
-    /// Show a branch of the version in force (or of the pending tree).
+    /// Show a branch of the version in force, or of the pending tree.
     Show {
-        /// The branch; the whole tree when left out.
+        /// Branch to show; the whole tree by default.
         branch: Option<String>,
-        /// Show settings after inheritance.
+        /// Include the settings that the branch inherits.
         #[arg(long)]
         resolved: bool,
         /// Show the pending tree instead of the version in force.
         #[arg(long)]
         pending: bool,
-        /// How to print it.
-        #[arg(long, value_enum, default_value_t = ReadFormat::Text)]
-        output: ReadFormat,
+        /// Output format.
+        #[arg(long, value_enum, default_value_t = OutputFormat::Text)]
+        output: OutputFormat,
     },
     /// Show what accepting the pending tree would change.
     Diff,
     /// Accept the pending tree as a new version.
     Accept {
-        /// Refuse unless the version in force is this one.
+        /// Fail unless the version in force has this number.
         #[arg(long)]
         expect: Option<u64>,
     },
-    /// Wait until every proxy reports a version in force.
+    /// Wait until every live daemon has applied a version.
     Watch {
-        /// The version to wait for; the current one when left out.
+        /// Number of the version to wait for; the version in force by default.
         version: Option<u64>,
-        /// Give up after this many seconds.
+        /// Maximum time to wait, in seconds.
         #[arg(long, default_value_t = 30)]
         timeout: u64,
     },
-    /// Put the previous version's content back in force, as a new version.
+    /// Restore the content of the previous version, as a new version.
     Withdraw {
-        /// Refuse unless the version in force is this one.
+        /// Fail unless the version in force has this number.
         #[arg(long)]
         expect: Option<u64>,
     },
-    /// List the proxies and the version each has in force.
+    /// List the daemons and the version that each has applied.
     Status {
-        /// How to print them.
-        #[arg(long, value_enum, default_value_t = ReadFormat::Text)]
-        output: ReadFormat,
+        /// Output format.
+        #[arg(long, value_enum, default_value_t = OutputFormat::Text)]
+        output: OutputFormat,
     },
-    /// Print the completions of a shell.
+    /// Print the completion script of a shell.
     Completions {
-        /// The shell.
+        /// Shell to print the script for.
         shell: Shell,
     },
-    /// Read the configuration and the hosts on the users' platform.
+    /// Inspect the configuration, hosts and calls on the users' platform.
     Mesh {
-        /// The platform's store, IP:PORT.
+        /// Address of the platform's store, as IP:PORT.
         #[arg(long, env = "FILBERT_STORE")]
         store: String,
-        /// The command.
+        /// The subcommand to run.
         #[command(subcommand)]
         command: MeshCommand,
     },
-    /// Tell what became of one call, from the logs of the daemons it crossed.
+    /// Show what happened to one call, from the logs of the daemons that handled it.
     Explain {
-        /// The call's request id.
+        /// Request id, or the identity of a call (`call=` in the logs).
         request: String,
-        /// Log files, of one daemon or of several.
+        /// Log files of one or more daemons.
         #[arg(required = true)]
         logs: Vec<PathBuf>,
     },
-    /// Reports made from the daemons' counters.
+    /// Create reports from the daemons' call counters.
     Report {
-        /// The report.
+        /// The report to create.
         #[command(subcommand)]
         report: ReportCommand,
     },
 }
 
-/// The commands on the users' platform. All but `release` read only.
+/// The subcommands of `filbertctl mesh`. Only `release` writes to the store.
 #[derive(Debug, Subcommand)]
 pub enum MeshCommand {
     /// Show the configuration in the store as a tree.
     Show {
-        /// Only what lies below this path: HOST, HOST/SERVICE or HOST/SERVICE/ROUTE.
+        /// Show only routes whose path starts with this: HOST, HOST/SERVICE or HOST/SERVICE/ROUTE.
         #[arg(default_value = "")]
         below: String,
-        /// How to print it; `raw` as the operator wrote it, for `diff`.
+        /// Output format; `raw` is the text that `diff` reads.
         #[arg(long, value_enum, default_value_t = ConfigFormat::Text)]
         output: ConfigFormat,
     },
-    /// Show what changed from a configuration saved earlier with `--output raw`.
+    /// Show what changed since a configuration saved with `show --output raw`.
     Diff {
-        /// The saved configuration.
+        /// File with the saved configuration.
         older: PathBuf,
     },
-    /// List the hosts and where their daemons are.
+    /// List the hosts with their availability zones and daemon addresses.
     Hosts {
-        /// How to print them.
-        #[arg(long, value_enum, default_value_t = ReadFormat::Text)]
-        output: ReadFormat,
+        /// Output format.
+        #[arg(long, value_enum, default_value_t = OutputFormat::Text)]
+        output: OutputFormat,
     },
-    /// Show what each host's daemon has in force and how busy its target is.
+    /// Show each daemon's version in force and the load of its target.
     Status {
-        /// Port of the daemons' metrics.
-        #[arg(long, default_value_t = METRICS_PORT)]
+        /// Port on which the daemons serve their metrics.
+        #[arg(long, default_value_t = DEFAULT_METRICS_PORT)]
         metrics_port: u16,
-        /// How to print it.
-        #[arg(long, value_enum, default_value_t = ReadFormat::Text)]
-        output: ReadFormat,
+        /// Output format.
+        #[arg(long, value_enum, default_value_t = OutputFormat::Text)]
+        output: OutputFormat,
     },
-    /// List the calls that are held back because targets ended under them.
+    /// List the calls that are held back because they crashed targets.
     Held {
-        /// How to print them.
-        #[arg(long, value_enum, default_value_t = ReadFormat::Text)]
-        output: ReadFormat,
+        /// Output format.
+        #[arg(long, value_enum, default_value_t = OutputFormat::Text)]
+        output: OutputFormat,
     },
-    /// Show how far roll-outs of software versions are, and why.
+    /// Show the stage of each software roll-out and the reason for it.
     Rollout {
-        /// Only this service's.
+        /// Show only the roll-out of this service.
         service: Option<String>,
-        /// How to print them.
-        #[arg(long, value_enum, default_value_t = ReadFormat::Text)]
-        output: ReadFormat,
+        /// Output format.
+        #[arg(long, value_enum, default_value_t = OutputFormat::Text)]
+        output: OutputFormat,
     },
-    /// List the organisations: their limits, and what became of their calls.
+    /// List the organisations with their limits and call counts.
     Organisations {
-        /// Port of the daemons' metrics.
-        #[arg(long, default_value_t = METRICS_PORT)]
+        /// Port on which the daemons serve their metrics.
+        #[arg(long, default_value_t = DEFAULT_METRICS_PORT)]
         metrics_port: u16,
-        /// How to print them.
-        #[arg(long, value_enum, default_value_t = ReadFormat::Text)]
-        output: ReadFormat,
+        /// Output format.
+        #[arg(long, value_enum, default_value_t = OutputFormat::Text)]
+        output: OutputFormat,
     },
-    /// Let a call that is held back go.
+    /// Release a call that is held back.
     Release {
-        /// The call, as `held` lists it and logs name it (`call=`).
+        /// Identity of the call, as listed by `held` and logged as `call=`.
         call: CallIdentity,
     },
     /// Wait until a version is in force on every host.
     Watch {
-        /// The version's number; the one in the store when left out.
+        /// Number of the version; the version in the store by default.
         version: Option<u64>,
-        /// Port of the daemons' metrics.
-        #[arg(long, default_value_t = METRICS_PORT)]
+        /// Port on which the daemons serve their metrics.
+        #[arg(long, default_value_t = DEFAULT_METRICS_PORT)]
         metrics_port: u16,
-        /// Give up after this many seconds.
+        /// Maximum time to wait, in seconds.
         #[arg(long, default_value_t = 30)]
         timeout: u64,
     },
 }
 
-/// How a reading command prints.
+/// Output format of the commands that show or list something.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum ReadFormat {
-    /// For people.
+pub enum OutputFormat {
+    /// Text for people.
     Text,
-    /// For programs.
+    /// JSON for programs.
     Json,
 }
 
-/// How a configuration is printed.
+/// Output format of a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum ConfigFormat {
-    /// For people.
+    /// Text for people.
     Text,
-    /// For programs.
+    /// JSON for programs.
     Json,
-    /// As it lies in the store.
+    /// Text as stored, unchanged.
     Raw,
 }
 
-/// The reports.
+/// The subcommands of `filbertctl report`.
 #[derive(Debug, Subcommand)]
 pub enum ReportCommand {
-    /// Append one sample of each daemon's call counters to a file.
+    /// Append a sample of each daemon's call counters to a file.
     Sample {
-        /// Admin URL of a daemon, such as `http://10.0.0.5:7101`; once per daemon.
+        /// Admin URL of a daemon, such as `http://10.0.0.5:7101`; repeat it for each daemon.
         #[arg(long, required = true)]
         daemon: Vec<String>,
-        /// The file, one JSON object a line.
+        /// File to append to, with one JSON object per line.
         #[arg(long)]
         out: PathBuf,
     },
-    /// Show how fast each service uses up its error budget.
+    /// Show the rate at which each service uses up its error budget.
     Burn(BurnArgs),
 }
 
 /// Arguments of `report burn`.
 #[derive(Debug, Args)]
 pub struct BurnArgs {
-    /// The file that `report sample` wrote.
+    /// File written by `report sample`.
     #[arg(long)]
     pub samples: PathBuf,
-    /// Share of calls that must end well.
+    /// Fraction of calls that must succeed: at least 0 and below 1.
     #[arg(long, default_value_t = 0.999)]
     pub objective: f64,
-    /// The short window, in seconds.
+    /// Length of the short window in seconds.
     #[arg(long, default_value_t = 300)]
     pub short: u64,
-    /// The long window, in seconds.
+    /// Length of the long window in seconds.
     #[arg(long, default_value_t = 3_600)]
     pub long: u64,
-    /// Also draw the burn rates over time into this SVG file.
+    /// Also plot the burn rates over time to this SVG file.
     #[arg(long)]
     pub svg: Option<PathBuf>,
 }
--- a/crates/ctl/src/cmd/accept.rs
+++ b/crates/ctl/src/cmd/accept.rs
@@ -1,4 +1,4 @@
-//! `filbertctl accept [--expect N]`: make the pending tree a new version.
+//! `filbertctl accept [--expect N]`: accepts the pending tree as a new version.
 
 use filbert_store::PlatformClient;
 
@@ -6,10 +6,10 @@
 use crate::store::{self, CtlResult};
 
 pub(super) async fn run(platform: &PlatformClient, expect: Option<u64>) -> CtlResult<()> {
-    let in_force = store::in_force(platform).await?;
-    check_expected(&in_force, expect)?;
-    let (pending, _) = store::draft(platform).await?;
-    let number = publish(platform, &in_force, pending, None).await?;
+    let current = store::read_current(platform).await?;
+    check_expected(&current, expect)?;
+    let (pending, _) = store::read_draft(platform).await?;
+    let number = publish(platform, &current, pending, None).await?;
     println!("accepted version {number}");
     Ok(())
 }
--- a/crates/ctl/src/cmd/completions.rs
+++ b/crates/ctl/src/cmd/completions.rs
@@ -1,4 +1,4 @@
-//! `filbertctl completions SHELL`: print a shell's completions.
+//! `filbertctl completions SHELL`: prints the completion script of a shell.
 
 use clap::CommandFactory;
 use clap_complete::Shell;
--- a/crates/ctl/src/cmd/diff.rs
+++ b/crates/ctl/src/cmd/diff.rs
@@ -1,4 +1,4 @@
-//! `filbertctl diff`: what accepting the pending tree would change.
+//! `filbertctl diff`: shows what accepting the pending tree would change.
 
 use filbert_store::PlatformClient;
 use filbert_tree::diff_trees;
@@ -6,11 +6,11 @@
 use crate::store::{self, CtlResult};
 
 pub(super) async fn run(platform: &PlatformClient) -> CtlResult<()> {
-    let in_force = store::in_force(platform).await?;
-    let (pending, _) = store::draft(platform).await?;
-    let lines = diff_trees(&in_force.tree(), &pending);
+    let current = store::read_current(platform).await?;
+    let (pending, _) = store::read_draft(platform).await?;
+    let lines = diff_trees(&current.tree(), &pending);
     if lines.is_empty() {
-        println!("no pending change against version {}", in_force.number());
+        println!("no pending change against version {}", current.number());
     }
     for line in lines {
         println!("{line}");
--- a/crates/ctl/src/cmd/edit.rs
+++ b/crates/ctl/src/cmd/edit.rs
@@ -1,4 +1,4 @@
-//! `filbertctl edit --file TREE.toml`: replace the pending tree.
+//! `filbertctl edit --file TREE.toml`: replaces the pending tree.
 
 use std::path::Path;
 
@@ -19,7 +19,7 @@
     tree.validate()
         .map_err(|problems| Report::new(CtlError::BadInput).attach(problems.to_string()))
         .attach(format!("file {}", file.display()))?;
-    let (_, row_version) = store::draft(platform).await?;
+    let (_, row_version) = store::read_draft(platform).await?;
     store::write_draft(platform, &tree, row_version).await?;
     println!(
         "pending tree replaced from {} ({} routes)",
--- a/crates/ctl/src/cmd/held.rs
+++ b/crates/ctl/src/cmd/held.rs
@@ -1,5 +1,5 @@
-//! `filbertctl mesh held` and `release`: the calls that are held back because
-//! targets ended under them, and letting one go.
+//! `filbertctl mesh held` and `mesh release`: lists the calls that are held back
+//! because they crashed targets, and releases one.
 
 use error_stack::ResultExt;
 use filbert_mesh::held_rows::{held_row_key, HeldRow};
@@ -10,25 +10,25 @@
 use filbert_policy::quarantine::hold_duration;
 use serde::Serialize;
 
-use crate::cli::ReadFormat;
+use crate::cli::OutputFormat;
 use crate::error::CtlError;
-use crate::store::{json, CtlResult};
+use crate::store::{to_json, CtlResult};
 
-/// One call that is held back.
+/// A call that is held back, as listed.
 #[derive(Debug, Serialize)]
 struct HeldCall {
-    /// Its identity, `call=` in the daemons' logs.
+    /// Identity of the call, `call=` in the daemons' logs.
     call: String,
-    /// Targets that ended under it.
+    /// Number of targets that crashed while running it.
     ends: usize,
-    /// Seconds since the last of them.
+    /// Seconds since the last of these crashes.
     last_end_ago_s: u64,
-    /// Seconds until a daemon may try it again; 0 when one may now.
+    /// Seconds until a daemon may probe it; 0 if one may now.
     tried_in_s: u64,
 }
 
 impl HeldCall {
-    fn of(row: &HeldRow, clock: &ClockReading) -> HeldCall {
+    fn from_row(row: &HeldRow, clock: &ClockReading) -> HeldCall {
         let record = row.to_record(clock);
         let hold = hold_duration(record.strikes(), 0.0);
         let age = record
@@ -46,7 +46,7 @@
 }
 
 /// Lists the calls that are held back.
-pub(super) async fn list(store: &StoreClient, output: ReadFormat) -> CtlResult<()> {
+pub(super) async fn list(store: &StoreClient, output: OutputFormat) -> CtlResult<()> {
     let batch = store
         .read_table(HOSTS_TABLE)
         .await
@@ -57,10 +57,10 @@
         .iter()
         .filter_map(HeldRow::decode)
         .filter(|row| row.to_record(&clock).is_held())
-        .map(|row| HeldCall::of(&row, &clock))
+        .map(|row| HeldCall::from_row(&row, &clock))
         .collect();
-    if output == ReadFormat::Json {
-        println!("{}", json(&held)?);
+    if output == OutputFormat::Json {
+        println!("{}", to_json(&held)?);
         return Ok(());
     }
     if held.is_empty() {
@@ -80,7 +80,8 @@
     Ok(())
 }
 
-/// Lets a call go: its route's targets were mended, or it was held back wrongly.
+/// Releases a call, for instance because its targets are fixed or it was held back by
+/// mistake.
 pub(super) async fn release(store: &StoreClient, call: CallIdentity) -> CtlResult<()> {
     let row = HeldRow::released(call, &SystemClock.reading());
     let edit = RowEdit {
@@ -92,6 +93,6 @@
         .edit_rows(&[edit])
         .await
         .change_context(CtlError::Platform)?;
-    println!("{call} is let go; daemons hear of it from the store");
+    println!("call {call} is released; the daemons learn of it from the store");
     Ok(())
 }
--- a/crates/ctl/src/cmd/mesh.rs
+++ b/crates/ctl/src/cmd/mesh.rs
@@ -1,6 +1,6 @@
-//! `filbertctl mesh ...`: the configuration, the hosts and the calls held back
-//! on the users' platform. The store takes the configuration from its own
-//! operator interface alone, so that is only read.
+//! `filbertctl mesh ...`: inspects the configuration, the hosts and the calls on the
+//! users' platform. The configuration is read-only here, as the store accepts changes
+//! of it only from the platform's own operator interface.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -13,15 +13,15 @@
 use filbert_policy::clock::SystemClock;
 
 use super::{held, organisations, rollout};
-use crate::cli::{ConfigFormat, MeshCommand, ReadFormat};
+use crate::cli::{ConfigFormat, MeshCommand, OutputFormat};
 use crate::error::CtlError;
-use crate::mesh::{DaemonReadings, HostStatus, MeshTree};
-use crate::store::{json, CtlResult};
+use crate::mesh::{ConfigTree, DaemonMetrics, HostStatus};
+use crate::store::{to_json, CtlResult};
 
-/// How long one call to the store or to a daemon may take.
+/// Timeout of a call to the store or to a daemon.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause between two looks at the daemons.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Pause between two polls of the daemons' metrics.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 pub(super) async fn run(store: &str, command: MeshCommand) -> CtlResult<()> {
     let store = StoreClient::new(store, CALL_TIMEOUT, Arc::new(SystemClock));
@@ -50,8 +50,8 @@
     }
 }
 
-/// The configuration in the store, as text and as a tree.
-pub(super) async fn current(store: &StoreClient) -> CtlResult<(Vec<u8>, MeshTree)> {
+/// Reads the configuration from the store; returns it as text and as a tree.
+pub(super) async fn read_config(store: &StoreClient) -> CtlResult<(Vec<u8>, ConfigTree)> {
     let batch = store
         .read_table(OPERATOR_TABLE)
         .await
@@ -65,14 +65,14 @@
             Report::new(CtlError::Platform).attach("the store holds no configuration")
         })?;
     let version = decode_config(&text).change_context(CtlError::Platform)?;
-    Ok((text, MeshTree::of(&version)))
+    Ok((text, ConfigTree::from_version(&version)))
 }
 
 async fn show(store: &StoreClient, below: &str, output: ConfigFormat) -> CtlResult<()> {
-    let (text, tree) = current(store).await?;
+    let (text, tree) = read_config(store).await?;
     match output {
-        ConfigFormat::Text => print!("{}", tree.text(below)),
-        ConfigFormat::Json => println!("{}", json(&tree)?),
+        ConfigFormat::Text => print!("{}", tree.to_text(below)),
+        ConfigFormat::Json => println!("{}", to_json(&tree)?),
         ConfigFormat::Raw => println!("{}", String::from_utf8_lossy(&text)),
     }
     Ok(())
@@ -85,8 +85,8 @@
     let version = decode_config(&text)
         .change_context(CtlError::BadInput)
         .attach(format!("file {}", older.display()))?;
-    let older = MeshTree::of(&version);
-    let (_, tree) = current(store).await?;
+    let older = ConfigTree::from_version(&version);
+    let (_, tree) = read_config(store).await?;
     println!("version {:08x} -> {:08x}", older.version, tree.version);
     for line in tree.changes_since(&older) {
         println!("{line}");
@@ -94,8 +94,9 @@
     Ok(())
 }
 
-/// The hosts whose rows are in the store.
-pub(super) async fn members(store: &StoreClient) -> CtlResult<Vec<PeerAddress>> {
+/// Reads the hosts that are registered in the store. Rows that do not decode are
+/// skipped.
+pub(super) async fn read_members(store: &StoreClient) -> CtlResult<Vec<PeerAddress>> {
     let batch = store
         .read_table(filbert_mesh::rows::HOSTS_TABLE)
         .await
@@ -107,10 +108,10 @@
         .collect())
 }
 
-async fn hosts(store: &StoreClient, output: ReadFormat) -> CtlResult<()> {
-    let members = members(store).await?;
-    if output == ReadFormat::Json {
-        println!("{}", json(&members)?);
+async fn hosts(store: &StoreClient, output: OutputFormat) -> CtlResult<()> {
+    let members = read_members(store).await?;
+    if output == OutputFormat::Json {
+        println!("{}", to_json(&members)?);
         return Ok(());
     }
     for member in members {
@@ -119,19 +120,19 @@
     Ok(())
 }
 
-async fn status(store: &StoreClient, metrics_port: u16, output: ReadFormat) -> CtlResult<()> {
-    let members = members(store).await?;
-    let metrics = metrics_of(members.clone(), metrics_port).await?;
-    let readings = metrics
+async fn status(store: &StoreClient, metrics_port: u16, output: OutputFormat) -> CtlResult<()> {
+    let members = read_members(store).await?;
+    let metrics = fetch_metrics(members.clone(), metrics_port).await?;
+    let daemons = metrics
         .into_iter()
-        .map(|(_, text)| text.and_then(|text| DaemonReadings::read(&text)));
+        .map(|(_, text)| text.and_then(|text| DaemonMetrics::parse(&text)));
     let hosts: Vec<HostStatus> = members
         .into_iter()
-        .zip(readings)
+        .zip(daemons)
         .map(|(member, daemon)| host_status(member, daemon))
         .collect();
-    if output == ReadFormat::Json {
-        println!("{}", json(&hosts)?);
+    if output == OutputFormat::Json {
+        println!("{}", to_json(&hosts)?);
         return Ok(());
     }
     println!(
@@ -145,7 +146,7 @@
         daemon,
     } in hosts
     {
-        let said = daemon.map_or_else(
+        let columns = daemon.map_or_else(
             || "does not answer".to_owned(),
             |daemon| {
                 format!(
@@ -159,32 +160,36 @@
                 )
             },
         );
-        println!("{host:<32} {zone:<16} {service:<16} {said}");
+        println!("{host:<32} {zone:<16} {service:<16} {columns}");
     }
     Ok(())
 }
 
-/// What the daemons of `members` say in their metrics, by host and in that order;
-/// `None` of one that does not answer.
-pub(super) async fn metrics_of(
+/// Fetches the metrics of the daemons of `members` in parallel. Returns each host's id
+/// and metrics, in the order of `members`; the metrics are `None` if the daemon does
+/// not answer.
+pub(super) async fn fetch_metrics(
     members: Vec<PeerAddress>,
     port: u16,
 ) -> CtlResult<Vec<(String, Option<String>)>> {
     let http = metrics_client()?;
-    let mut asked = tokio::task::JoinSet::new();
-    for (place, member) in members.into_iter().enumerate() {
+    let mut requests = tokio::task::JoinSet::new();
+    for (index, member) in members.into_iter().enumerate() {
         let http = http.clone();
-        asked.spawn(async move {
-            let text = metrics_text(&http, &member, port).await;
-            (place, member.id, text)
+        requests.spawn(async move {
+            let text = fetch_metrics_text(&http, &member, port).await;
+            (index, member.id, text)
         });
     }
-    let mut told = asked.join_all().await;
-    told.sort_by_key(|(place, ..)| *place);
-    Ok(told.into_iter().map(|(_, id, text)| (id, text)).collect())
+    let mut responses = requests.join_all().await;
+    responses.sort_by_key(|(index, ..)| *index);
+    Ok(responses
+        .into_iter()
+        .map(|(_, id, text)| (id, text))
+        .collect())
 }
 
-fn host_status(member: PeerAddress, daemon: Option<DaemonReadings>) -> HostStatus {
+fn host_status(member: PeerAddress, daemon: Option<DaemonMetrics>) -> HostStatus {
     HostStatus {
         host: member.id,
         zone: member.zone,
@@ -207,51 +212,57 @@
     metrics_port: u16,
     timeout: Duration,
 ) -> CtlResult<()> {
-    let wanted = match version {
+    let expected = match version {
         Some(version) => version,
-        None => current(store).await?.1.version,
+        None => read_config(store).await?.1.version,
     };
     let http = metrics_client()?;
     let started = Instant::now();
-    let mut behind = members(store).await?;
+    let mut behind = read_members(store).await?;
     while !behind.is_empty() && started.elapsed() < timeout {
-        let mut still = Vec::new();
+        let mut still_behind = Vec::new();
         for member in behind {
-            let daemon = readings_of(&http, &member, metrics_port).await;
-            if daemon.is_none_or(|daemon| daemon.version < wanted) {
-                still.push(member);
+            let daemon = fetch_daemon_metrics(&http, &member, metrics_port).await;
+            if daemon.is_none_or(|daemon| daemon.version < expected) {
+                still_behind.push(member);
             }
         }
-        behind = still;
+        behind = still_behind;
         if !behind.is_empty() {
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
     if behind.is_empty() {
         println!(
-            "version {wanted:08x} is in force everywhere, {} ms",
+            "version {expected:08x} is in force everywhere after {} ms",
             started.elapsed().as_millis()
         );
         return Ok(());
     }
     let names: Vec<String> = behind.into_iter().map(|member| member.id).collect();
-    Err(Report::new(CtlError::NotSettled).attach(format!(
-        "version {wanted:08x} is missing on {}",
+    Err(Report::new(CtlError::Incomplete).attach(format!(
+        "version {expected:08x} is missing on {}",
         names.join(", ")
     )))
 }
 
-/// What a host's daemon says of itself; `None` when it does not answer.
-async fn readings_of(
+/// Fetches and parses the metrics of the daemon of `member`; `None` if it does not
+/// answer or has no version.
+async fn fetch_daemon_metrics(
     http: &reqwest::Client,
     member: &PeerAddress,
     port: u16,
-) -> Option<DaemonReadings> {
-    DaemonReadings::read(&metrics_text(http, member, port).await?)
+) -> Option<DaemonMetrics> {
+    DaemonMetrics::parse(&fetch_metrics_text(http, member, port).await?)
 }
 
-async fn metrics_text(http: &reqwest::Client, member: &PeerAddress, port: u16) -> Option<String> {
+/// Fetches the metrics of the daemon of `member` as text; `None` if it does not answer.
+async fn fetch_metrics_text(
+    http: &reqwest::Client,
+    member: &PeerAddress,
+    port: u16,
+) -> Option<String> {
     let host = member.address.rsplit_once(':')?.0;
-    let asked = http.get(format!("http://{host}:{port}/metrics")).send();
-    asked.await.ok()?.text().await.ok()
+    let response = http.get(format!("http://{host}:{port}/metrics")).send();
+    response.await.ok()?.text().await.ok()
 }
--- a/crates/ctl/src/cmd/mod.rs
+++ b/crates/ctl/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! One module per subcommand; [`run`] dispatches.
+//! The subcommands, one module each, and their dispatch in [`run`].
 
 mod accept;
 mod completions;
@@ -23,13 +23,13 @@
 use crate::cli::{Cli, Command};
 use crate::store::CtlResult;
 
-/// How long one platform call from the command line may take.
+/// Timeout of a call to the platform.
 const PLATFORM_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
 
-/// Runs one parsed command line, printing its results on standard output.
+/// Runs the command `cli` and prints its results on standard output.
 ///
 /// # Errors
-/// [`crate::CtlError`] with context for the operator.
+/// A [`crate::CtlError`] with details for the operator.
 pub async fn run(cli: Cli) -> CtlResult<()> {
     let platform = PlatformClient::new(&cli.platform, PLATFORM_TIMEOUT);
     match cli.command {
--- a/crates/ctl/src/cmd/organisations.rs
+++ b/crates/ctl/src/cmd/organisations.rs
@@ -1,5 +1,5 @@
-//! `filbertctl mesh organisations`: what each organisation may run, and what became
-//! of its calls.
+//! `filbertctl mesh organisations`: lists the organisations with their limits and call
+//! counts.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -11,95 +11,112 @@
 use filbert_policy::organisations::keys::OrganisationRule;
 use serde::Serialize;
 
-use super::mesh::{current, members, metrics_of};
-use crate::cli::ReadFormat;
+use super::mesh::{fetch_metrics, read_config, read_members};
+use crate::cli::OutputFormat;
 use crate::error::CtlError;
-use crate::mesh::organisation_calls;
-use crate::store::{json, CtlResult};
+use crate::mesh::add_organisation_calls;
+use crate::store::{to_json, CtlResult};
 
-/// One organisation. Its keys are not shown.
+/// An organisation, as listed. Its API keys are counted, but not shown.
 #[derive(Debug, Serialize)]
-struct ShownOrganisation {
+struct OrganisationSummary {
     name: String,
+    /// Number of API keys.
     keys: usize,
+    /// Priority of its calls; `None` if that of the route applies.
     priority: Option<u8>,
-    /// Calls a second; `None` when they are not limited.
+    /// Allowed calls per second; `None` if they are not limited.
     per_s: Option<f64>,
+    /// Maximum number of calls in a burst; `None` if they are not limited.
     burst: Option<f64>,
-    /// Calls that could run, by the daemons that name it among their busiest.
+    /// Calls within the quota, as counted by the daemons that report the organisation:
+    /// each daemon reports only its busiest ones.
     allowed: u64,
-    /// Calls beyond its limit, by the same.
+    /// Calls over the quota, as counted by the same daemons.
     over_quota: u64,
 }
 
-impl ShownOrganisation {
-    fn of(rule: &OrganisationRule, calls: &BTreeMap<(String, String), u64>) -> ShownOrganisation {
-        let of_verdict = |verdict: &str| {
+impl OrganisationSummary {
+    fn from_rule(
+        rule: &OrganisationRule,
+        calls: &BTreeMap<(String, String), u64>,
+    ) -> OrganisationSummary {
+        let count_of = |verdict: &str| {
             let key = (rule.name.clone(), verdict.to_owned());
             calls.get(&key).copied().unwrap_or_default()
         };
-        ShownOrganisation {
+        OrganisationSummary {
             name: rule.name.clone(),
             keys: rule.keys.len(),
             priority: rule.priority,
             per_s: rule.limit.map(|limit| limit.per_s),
             burst: rule.limit.map(|limit| limit.burst),
-            allowed: of_verdict("allowed"),
-            over_quota: of_verdict("over_quota"),
+            allowed: count_of("allowed"),
+            over_quota: count_of("over_quota"),
         }
     }
 }
 
-/// Lists the organisations, those that were refused most first.
+/// Lists the organisations, sorted by calls over quota, then by allowed calls, largest
+/// first.
+///
+/// # Errors
+/// [`CtlError::Incomplete`], after the list, if a daemon does not answer.
 pub(super) async fn list(
     store: &StoreClient,
     metrics_port: u16,
-    output: ReadFormat,
+    output: OutputFormat,
 ) -> CtlResult<()> {
-    let (text, _) = current(store).await?;
+    let (text, _) = read_config(store).await?;
     let version = decode_config(&text).change_context(CtlError::Platform)?;
     let mut calls = BTreeMap::new();
-    let mut silent = Vec::new();
-    for (host, metrics) in metrics_of(members(store).await?, metrics_port).await? {
+    let mut unreachable = Vec::new();
+    for (host, metrics) in fetch_metrics(read_members(store).await?, metrics_port).await? {
         match metrics {
-            Some(text) => organisation_calls(&text, &mut calls),
-            None => silent.push(host),
+            Some(text) => add_organisation_calls(&text, &mut calls),
+            None => unreachable.push(host),
         }
     }
     let rules: Vec<Arc<OrganisationRule>> = version.organisations;
-    let mut shown: Vec<ShownOrganisation> = rules
+    let mut summaries: Vec<OrganisationSummary> = rules
         .iter()
-        .map(|rule| ShownOrganisation::of(rule, &calls))
+        .map(|rule| OrganisationSummary::from_rule(rule, &calls))
         .collect();
-    shown.sort_by_key(|one| (Reverse(one.over_quota), Reverse(one.allowed)));
-    if output == ReadFormat::Json {
-        println!("{}", json(&shown)?);
+    summaries.sort_by_key(|summary| (Reverse(summary.over_quota), Reverse(summary.allowed)));
+    if output == OutputFormat::Json {
+        println!("{}", to_json(&summaries)?);
     } else {
-        print_table(&shown);
+        print_table(&summaries);
     }
-    if silent.is_empty() {
+    if unreachable.is_empty() {
         return Ok(());
     }
-    Err(Report::new(CtlError::NotSettled)
-        .attach(format!("no word of the daemons on {}", silent.join(", "))))
+    Err(Report::new(CtlError::Incomplete).attach(format!(
+        "no metrics from the daemons on {}",
+        unreachable.join(", ")
+    )))
 }
 
-fn print_table(shown: &[ShownOrganisation]) {
+/// Prints the organisations as a table.
+fn print_table(summaries: &[OrganisationSummary]) {
     println!(
         "{:<32} {:>5} {:>8} {:>10} {:>10} {:>10} {:>10}",
         "organisation", "keys", "priority", "a second", "at once", "allowed", "over quota"
     );
-    let number = |value: Option<f64>| value.map_or("-".to_owned(), |value| format!("{value}"));
-    for one in shown {
-        let priority = one.priority.map_or("-".to_owned(), |rank| rank.to_string());
+    let format_limit =
+        |value: Option<f64>| value.map_or("-".to_owned(), |value| format!("{value}"));
+    for summary in summaries {
+        let priority = summary
+            .priority
+            .map_or("-".to_owned(), |priority| priority.to_string());
         println!(
             "{:<32} {:>5} {priority:>8} {:>10} {:>10} {:>10} {:>10}",
-            one.name,
-            one.keys,
-            number(one.per_s),
-            number(one.burst),
-            one.allowed,
-            one.over_quota
+            summary.name,
+            summary.keys,
+            format_limit(summary.per_s),
+            format_limit(summary.burst),
+            summary.allowed,
+            summary.over_quota
         );
     }
 }
--- a/crates/ctl/src/cmd/publish.rs
+++ b/crates/ctl/src/cmd/publish.rs
@@ -1,4 +1,4 @@
-//! Making a tree the version in force: shared by accept and withdraw.
+//! Publishes a tree as the version in force, for `accept` and `withdraw`.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -10,33 +10,34 @@
 use filbert_tree::{SettingsTree, TreeDelta, VersionCodec, VersionRecord};
 
 use crate::error::CtlError;
-use crate::store::{self, CtlResult, DraftValue, InForce};
+use crate::store::{self, CtlResult, CurrentVersion, DraftValue};
 
-/// Attempts at storing a version object when the platform does not answer.
-const OBJECT_ATTEMPTS: u32 = 3;
+/// Maximum number of attempts to store a version object if the platform does not answer.
+const MAX_STORE_ATTEMPTS: u32 = 3;
 
-/// Makes `tree` the next version after `in_force`, by compare-and-set on the
-/// `current` row. Returns the new number.
+/// Publishes `tree` as the version after `current`, by compare-and-set on the `current`
+/// row, and returns its number. `restores` is the number of the version whose content
+/// a withdrawal restores.
 ///
 /// # Errors
-/// [`CtlError::Refused`] when the tree is invalid or another operator
-/// accepted first; [`CtlError::Platform`] when the outcome cannot be learned.
+/// [`CtlError::Refused`] if the tree is invalid or another operator accepted a version
+/// first; [`CtlError::Platform`] if the platform fails or the outcome is unknown.
 pub(super) async fn publish(
     platform: &PlatformClient,
-    in_force: &InForce,
+    current: &CurrentVersion,
     tree: SettingsTree,
     restores: Option<u64>,
 ) -> CtlResult<u64> {
     tree.validate()
         .map_err(|problems| Report::new(CtlError::Refused).attach(problems.to_string()))?;
-    let number = in_force.number() + 1;
+    let number = current.number() + 1;
     let nonce = nonce();
     let object = StoreKey::version_object(number, nonce);
     let record = VersionRecord {
         number,
-        parent: in_force.number(),
+        parent: current.number(),
         restores,
-        parent_object: in_force
+        parent_object: current
             .pointer
             .as_ref()
             .map(|pointer| pointer.object.clone()),
@@ -46,41 +47,41 @@
     let pointer = CurrentPointer {
         number,
         object: object.clone(),
-        delta: store_delta(platform, in_force, &record, nonce).await,
+        delta: store_delta(platform, current, &record, nonce).await,
     };
-    let expect = in_force
+    let condition = current
         .row_version
         .map_or(WriteCondition::Absent, WriteCondition::Version);
     let value = serde_json::to_value(&pointer).change_context(CtlError::Platform)?;
-    match platform.put(StoreKey::CURRENT, expect, value).await {
+    match platform.put(StoreKey::CURRENT, condition, value).await {
         Ok(WriteOutcome::Written(_)) => {}
         Ok(WriteOutcome::Refused(_)) => {
             return Err(Report::new(CtlError::Refused).attach(format!(
-                "version {number} was accepted by another operator meanwhile; nothing changed, look at `filbertctl diff` and retry"
+                "version {number} was accepted by another operator in the meantime; nothing changed, check `filbertctl diff` and retry"
             )))
         }
-        // Guards against a lost reply after the write took effect: the
-        // compare-and-set may have won even though no answer came. The object
-        // key is unique to this attempt, so reading the row back tells.
+        // The write may have taken effect although its reply was lost. The object
+        // key is unique to this attempt, so the row shows whether it did.
         Err(_) => confirm_written(platform, &object).await?,
     }
     reset_draft(platform, &record.tree).await;
     Ok(number)
 }
 
+/// Stores a version object, with up to [`MAX_STORE_ATTEMPTS`] attempts.
 async fn store_object(platform: &PlatformClient, object: &str, bytes: Vec<u8>) -> CtlResult<()> {
-    let mut last = None;
-    for _ in 0..OBJECT_ATTEMPTS {
+    let mut last_error = None;
+    for _ in 0..MAX_STORE_ATTEMPTS {
         // The key is unique to this attempt, so storing it again is idempotent.
         match platform.put_object(object, bytes.clone()).await {
             Ok(()) => return Ok(()),
             Err(report) if *report.current_context() == PlatformError::Malformed => {
                 return Err(report.change_context(CtlError::Platform));
             }
-            Err(report) => last = Some(report),
+            Err(report) => last_error = Some(report),
         }
     }
-    Err(last
+    Err(last_error
         .map_or_else(
             || Report::new(CtlError::Platform),
             |report| report.change_context(CtlError::Platform),
@@ -88,16 +89,16 @@
         .attach("could not store the version object; nothing was accepted"))
 }
 
-/// Stores the steps from the version in force to `record`, which spare relays
-/// the whole version. Without them a relay fetches it whole, so a failure here
-/// does not fail the accept.
+/// Stores the delta from the version in force to `record`, so that relays need not
+/// fetch the full version. Returns `None` if the delta cannot be stored: relays then
+/// fetch the full version, so the accept does not fail.
 async fn store_delta(
     platform: &PlatformClient,
-    in_force: &InForce,
+    current: &CurrentVersion,
     record: &VersionRecord,
     nonce: u64,
 ) -> Option<DeltaPointer> {
-    let base = in_force.record.as_ref()?;
+    let base = current.record.as_ref()?;
     let delta = TreeDelta::between(&base.tree, &record.tree);
     let object = StoreKey::delta_object(record.number, nonce);
     let stored = platform.put_object(&object, VersionCodec::encode_delta(&delta));
@@ -108,19 +109,23 @@
     })
 }
 
+/// Reads back whether the `current` row points to `object`, after a write of the row
+/// without a reply.
 async fn confirm_written(platform: &PlatformClient, object: &str) -> CtlResult<()> {
-    let now = store::in_force(platform)
+    let current = store::read_current(platform)
         .await
-        .attach("the accept may or may not have taken effect; run `filbertctl show` to see")?;
-    match now.pointer {
+        .attach("it is unknown whether the version was accepted; check with `filbertctl show`")?;
+    match current.pointer {
         Some(pointer) if pointer.object == object => Ok(()),
-        _ => Err(Report::new(CtlError::Refused)
-            .attach("the accept did not take effect; nothing changed")),
+        _ => {
+            Err(Report::new(CtlError::Refused)
+                .attach("the version was not accepted; nothing changed"))
+        }
     }
 }
 
-/// Sets the pending tree to what is now in force. A failure leaves the old
-/// draft, which `diff` then shows; it is not an error of the accept.
+/// Sets the pending tree to `tree`, which is now in force. A failure is ignored, as the
+/// version is accepted: the old draft stays, and `diff` shows it.
 async fn reset_draft(platform: &PlatformClient, tree: &SettingsTree) {
     if let Ok(value) = serde_json::to_value(DraftValue {
         tree: tree.to_toml(),
@@ -131,22 +136,27 @@
     }
 }
 
+/// Returns a number from the time and the process id that makes the keys of this
+/// attempt's objects unique.
 fn nonce() -> u64 {
     let nanos = SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .map_or(0, |since| since.as_nanos());
+        .map_or(0, |since_epoch| since_epoch.as_nanos());
     #[allow(clippy::cast_possible_truncation)]
     let low = nanos as u64;
     low ^ (u64::from(std::process::id()) << 40)
 }
 
-/// Refuses unless the version in force is `expect`, when one was given.
-pub(super) fn check_expected(in_force: &InForce, expect: Option<u64>) -> CtlResult<()> {
+/// Checks that the version in force has the number `expect`, if that is given.
+///
+/// # Errors
+/// [`CtlError::Refused`] if it has another number.
+pub(super) fn check_expected(current: &CurrentVersion, expect: Option<u64>) -> CtlResult<()> {
     match expect {
-        Some(expected) if expected != in_force.number() => Err(Report::new(CtlError::Refused)
+        Some(expected) if expected != current.number() => Err(Report::new(CtlError::Refused)
             .attach(format!(
                 "version {} is in force, not {expected}; nothing changed",
-                in_force.number()
+                current.number()
             ))),
         _ => Ok(()),
     }
--- a/crates/ctl/src/cmd/rollout.rs
+++ b/crates/ctl/src/cmd/rollout.rs
@@ -1,4 +1,5 @@
-//! `filbertctl mesh rollout`: how far roll-outs are, and what they rest on.
+//! `filbertctl mesh rollout`: lists the roll-outs with their stages and the evidence for
+//! them.
 
 use error_stack::ResultExt;
 use filbert_mesh::rollouts::row::RolloutRow;
@@ -8,39 +9,40 @@
 use filbert_policy::rollout::record::RolloutStage;
 use serde::Serialize;
 
-use crate::cli::ReadFormat;
+use crate::cli::OutputFormat;
 use crate::error::CtlError;
-use crate::store::{json, CtlResult};
+use crate::store::{to_json, CtlResult};
 
-/// One service's roll-out.
+/// The roll-out of a service, as listed.
 #[derive(Debug, Serialize)]
-struct ShownRollout {
+struct RolloutSummary {
     service: String,
-    /// The version that its calls move to.
+    /// Software version that the service's calls move to.
     to: String,
-    /// waiting, trial, moved, completed or `rolled_back`.
+    /// Stage: `waiting`, `trial`, `moved`, `completed` or `rolled_back`.
     stage: &'static str,
-    /// Thousandths of the calls that go to the new version.
+    /// Calls of each thousand that go to the new version.
     per_mille: u16,
-    /// New targets' hosts that calls on trial go to; all when empty.
+    /// Hosts whose new targets get the calls of a trial; all new targets if empty.
     canaries: Vec<String>,
-    /// Why this stage was taken.
+    /// Reason for the stage.
     reason: String,
-    /// The host whose daemon decided so.
+    /// Host whose daemon decided on the stage.
     decided_by: String,
-    /// What it went by: calls of both versions, bad ones, the evidence.
+    /// Evidence for the decision: calls and failures of both versions.
     evidence: String,
+    /// Time from the order to the deadline of the roll-out, in milliseconds.
     allowed_ms: u128,
 }
 
-impl ShownRollout {
-    fn of(row: RolloutRow) -> ShownRollout {
-        const ALL: u16 = 1_000;
+impl RolloutSummary {
+    fn from_row(row: RolloutRow) -> RolloutSummary {
+        const ALL_PER_MILLE: u16 = 1_000;
         let record = row.record;
-        ShownRollout {
+        RolloutSummary {
             per_mille: match record.stage {
                 RolloutStage::Trial { per_mille } => per_mille,
-                RolloutStage::Moved | RolloutStage::Completed => ALL,
+                RolloutStage::Moved | RolloutStage::Completed => ALL_PER_MILLE,
                 RolloutStage::RolledBack => 0,
             },
             stage: stage_label(record.stage),
@@ -55,41 +57,44 @@
     }
 }
 
-/// Lists the roll-outs, or the one of `service`.
+/// Lists all roll-outs, or only the one of `service`.
 pub(super) async fn list(
     store: &StoreClient,
     service: Option<&str>,
-    output: ReadFormat,
+    output: OutputFormat,
 ) -> CtlResult<()> {
     let batch = store
         .read_table(HOSTS_TABLE)
         .await
         .change_context(CtlError::Platform)?;
-    let rollouts: Vec<ShownRollout> = batch
+    let rollouts: Vec<RolloutSummary> = batch
         .rows
         .iter()
         .filter_map(RolloutRow::read)
-        .map(ShownRollout::of)
-        .filter(|shown| service.is_none_or(|service| service == shown.service))
+        .map(RolloutSummary::from_row)
+        .filter(|summary| service.is_none_or(|service| service == summary.service))
         .collect();
-    if output == ReadFormat::Json {
-        println!("{}", json(&rollouts)?);
+    if output == OutputFormat::Json {
+        println!("{}", to_json(&rollouts)?);
         return Ok(());
     }
     if rollouts.is_empty() {
-        println!("no roll-out was ordered");
+        println!("no roll-outs");
     }
-    for shown in rollouts {
+    for summary in rollouts {
         println!(
-            "{} to {}: {}, {} of 1000 calls to the new version, {} ms allowed",
-            shown.service, shown.to, shown.stage, shown.per_mille, shown.allowed_ms
+            "{} to {}: {}, {} of 1000 calls to the new version, deadline {} ms after the order",
+            summary.service, summary.to, summary.stage, summary.per_mille, summary.allowed_ms
         );
-        println!("  decided by {} ({})", shown.decided_by, shown.reason);
-        if !shown.canaries.is_empty() {
-            println!("  tried on {}", shown.canaries.join(", "));
+        println!(
+            "  decided by the daemon on {} ({})",
+            summary.decided_by, summary.reason
+        );
+        if !summary.canaries.is_empty() {
+            println!("  canary hosts: {}", summary.canaries.join(", "));
         }
-        if !shown.evidence.is_empty() {
-            println!("  {}", shown.evidence);
+        if !summary.evidence.is_empty() {
+            println!("  {}", summary.evidence);
         }
     }
     Ok(())
--- a/crates/ctl/src/cmd/set.rs
+++ b/crates/ctl/src/cmd/set.rs
@@ -1,4 +1,4 @@
-//! `filbertctl set BRANCH KEY VALUE`: change one key of the pending tree.
+//! `filbertctl set BRANCH KEY VALUE`: sets one key of a branch in the pending tree.
 
 use error_stack::{Report, ResultExt};
 use filbert_store::PlatformClient;
@@ -13,7 +13,7 @@
     value: &str,
 ) -> CtlResult<()> {
     let path = store::parse_branch(branch)?;
-    let (mut tree, row_version) = store::draft(platform).await?;
+    let (mut tree, row_version) = store::read_draft(platform).await?;
     tree.set(&path, key, value)
         .change_context(CtlError::BadInput)?;
     tree.validate()
--- a/crates/ctl/src/cmd/show.rs
+++ b/crates/ctl/src/cmd/show.rs
@@ -1,9 +1,10 @@
-//! `filbertctl show [BRANCH] [--resolved] [--pending]`: print a branch.
+//! `filbertctl show [BRANCH] [--resolved] [--pending]`: prints the settings tree or one
+//! of its branches.
 
 use error_stack::Report;
 use filbert_store::PlatformClient;
 
-use crate::cli::ReadFormat;
+use crate::cli::OutputFormat;
 use crate::error::CtlError;
 use crate::store::{self, CtlResult};
 
@@ -12,20 +13,20 @@
     branch: Option<&str>,
     resolved: bool,
     pending: bool,
-    output: ReadFormat,
+    output: OutputFormat,
 ) -> CtlResult<()> {
     let (version, tree) = if pending {
-        (None, store::draft(platform).await?.0)
+        (None, store::read_draft(platform).await?.0)
     } else {
-        let in_force = store::in_force(platform).await?;
-        (Some(in_force.number()), in_force.tree())
+        let current = store::read_current(platform).await?;
+        (Some(current.number()), current.tree())
     };
     let Some(branch) = branch else {
         match output {
-            ReadFormat::Text => print!("{}{}", heading(version), tree.to_toml()),
-            ReadFormat::Json => {
-                let shown = serde_json::json!({ "version": version, "tree": tree });
-                println!("{}", store::json(&shown)?);
+            OutputFormat::Text => print!("{}{}", version_comment(version), tree.to_toml()),
+            OutputFormat::Json => {
+                let document = serde_json::json!({ "version": version, "tree": tree });
+                println!("{}", store::to_json(&document)?);
             }
         }
         return Ok(());
@@ -36,26 +37,28 @@
     } else {
         tree.own_settings(&path).cloned()
     };
-    let settings = settings
-        .ok_or_else(|| Report::new(CtlError::BadInput).attach(format!("{path}: no such branch")))?;
+    let settings = settings.ok_or_else(|| {
+        Report::new(CtlError::BadInput).attach(format!("branch `{path}` does not exist"))
+    })?;
     match output {
-        ReadFormat::Text => {
-            println!("{}[{path}]", heading(version));
+        OutputFormat::Text => {
+            println!("{}[{path}]", version_comment(version));
             for (key, value) in settings.key_values() {
                 println!("{key} = {value}");
             }
         }
-        ReadFormat::Json => {
-            let shown = serde_json::json!({
+        OutputFormat::Json => {
+            let document = serde_json::json!({
                 "version": version, "branch": path.to_string(), "settings": settings,
             });
-            println!("{}", store::json(&shown)?);
+            println!("{}", store::to_json(&document)?);
         }
     }
     Ok(())
 }
 
-/// The line on the version in force; none for the pending tree.
-fn heading(version: Option<u64>) -> String {
+/// Returns the comment line that names the version in force; empty for the pending
+/// tree, which has no version.
+fn version_comment(version: Option<u64>) -> String {
     version.map_or_else(String::new, |version| format!("# version {version}\n"))
 }
--- a/crates/ctl/src/cmd/status.rs
+++ b/crates/ctl/src/cmd/status.rs
@@ -1,22 +1,22 @@
-//! `filbertctl status`: every proxy and the version it has in force.
+//! `filbertctl status`: lists the daemons and the version that each has applied.
 
 use filbert_store::PlatformClient;
 
-use crate::cli::ReadFormat;
+use crate::cli::OutputFormat;
 use crate::fleet;
 use crate::store::{self, CtlResult};
 
-pub(super) async fn run(platform: &PlatformClient, output: ReadFormat) -> CtlResult<()> {
-    let in_force = store::in_force(platform).await?;
+pub(super) async fn run(platform: &PlatformClient, output: OutputFormat) -> CtlResult<()> {
+    let current = store::read_current(platform).await?;
     let fleet = fleet::read(platform).await?;
-    if output == ReadFormat::Json {
-        let shown = serde_json::json!({
-            "version": in_force.number(), "live": fleet.live, "silent": fleet.silent,
+    if output == OutputFormat::Json {
+        let document = serde_json::json!({
+            "version": current.number(), "live": fleet.live, "silent": fleet.silent,
         });
-        println!("{}", store::json(&shown)?);
+        println!("{}", store::to_json(&document)?);
         return Ok(());
     }
-    println!("version in force: {}", in_force.number());
+    println!("version in force: {}", current.number());
     for status in &fleet.live {
         let rejected = status
             .rejected
--- a/crates/ctl/src/cmd/watch.rs
+++ b/crates/ctl/src/cmd/watch.rs
@@ -1,5 +1,5 @@
-//! `filbertctl watch [VERSION]`: wait until every live proxy reports the
-//! version in force, and say how long it took.
+//! `filbertctl watch [VERSION]`: waits until every live daemon has applied a version,
+//! and prints how long that took.
 
 use std::time::{Duration, Instant};
 
@@ -10,28 +10,28 @@
 use crate::fleet;
 use crate::store::{self, CtlResult};
 
-/// Pause between reads of the status rows.
-const POLL: Duration = Duration::from_millis(50);
+/// Interval between reads of the status rows.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 pub(super) async fn run(
     platform: &PlatformClient,
     version: Option<u64>,
     timeout: Duration,
 ) -> CtlResult<()> {
-    let target = match version {
+    let version = match version {
         Some(number) => number,
-        None => store::in_force(platform).await?.number(),
+        None => store::read_current(platform).await?.number(),
     };
     let started = Instant::now();
     loop {
         let live = fleet::read(platform).await?.live;
         let behind: Vec<&DaemonStatus> = live
             .iter()
-            .filter(|status| status.applied < target)
+            .filter(|status| status.applied < version)
             .collect();
         if !live.is_empty() && behind.is_empty() {
             println!(
-                "version {target} in force on all {} proxies after {} ms",
+                "version {version} is in force on all {} daemons after {} ms",
                 live.len(),
                 started.elapsed().as_millis()
             );
@@ -42,12 +42,12 @@
                 .iter()
                 .map(|status| format!("{}/{} at {}", status.zone, status.id, status.applied))
                 .collect();
-            return Err(Report::new(CtlError::NotSettled).attach(format!(
-                "version {target} not in force after {} s on: {}",
+            return Err(Report::new(CtlError::Incomplete).attach(format!(
+                "version {version} is not in force after {} s on: {}",
                 timeout.as_secs(),
                 names.join(", ")
             )));
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,22 +1,24 @@
-//! The command line's errors and the exit codes they map to.
+//! Errors of the command line and their exit codes.
 
 use std::fmt;
 use std::process::ExitCode;
 
 use error_stack::{AttachmentKind, FrameKind, Report};
 
-/// Why a command did not do what was asked.
+/// Reason why a command failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CtlError {
-    /// The input was wrong: a bad file, branch, key or value. Exit code 2.
+    /// An argument or a file is invalid: a wrong path, branch, key or value. Exit
+    /// code 2.
     BadInput,
-    /// The platform could not be reached or answered badly. Exit code 1.
+    /// The platform is unreachable, or its answer is invalid. Exit code 1.
     Platform,
-    /// The request was refused: another operator won a race, or the tree is
+    /// The change was refused: another operator made one first, or the tree is
     /// invalid. Exit code 1.
     Refused,
-    /// A watch ran out of time before every proxy reported. Exit code 1.
-    NotSettled,
+    /// Not every daemon reported in time: the version that `watch` waits for, or the
+    /// metrics that `mesh organisations` adds up. Exit code 1.
+    Incomplete,
 }
 
 impl fmt::Display for CtlError {
@@ -25,7 +27,7 @@
             CtlError::BadInput => "bad input",
             CtlError::Platform => "platform call failed",
             CtlError::Refused => "refused",
-            CtlError::NotSettled => "not settled in time",
+            CtlError::Incomplete => "not every daemon reported in time",
         };
         formatter.write_str(text)
     }
@@ -34,18 +36,18 @@
 impl std::error::Error for CtlError {}
 
 impl CtlError {
-    /// The process exit code for this error.
+    /// Returns the exit code of the process for this error.
     #[must_use]
     pub fn exit_code(&self) -> ExitCode {
         match self {
             CtlError::BadInput => ExitCode::from(2),
-            CtlError::Platform | CtlError::Refused | CtlError::NotSettled => ExitCode::from(1),
+            CtlError::Platform | CtlError::Refused | CtlError::Incomplete => ExitCode::from(1),
         }
     }
 }
 
-/// A report as a person reads it: what failed and where in one line, the causes
-/// below it, no backtrace (that is for `{report:?}`).
+/// Formats `report` for people: the failed step with its details on the first line,
+/// then one line per cause. Backtraces are left out; `{report:?}` has them.
 #[must_use]
 pub fn format_report<C>(report: &Report<C>) -> String {
     let mut lines: Vec<String> = Vec::new();
@@ -54,12 +56,12 @@
         match frame.kind() {
             FrameKind::Context(context) => {
                 let text = context.to_string();
-                let whole = match details.join(", ") {
+                let line = match details.join(", ") {
                     none if none.is_empty() => text,
                     details => format!("{text} ({details})"),
                 };
                 details.clear();
-                lines.push(whole.trim_end().to_owned());
+                lines.push(line.trim_end().to_owned());
             }
             FrameKind::Attachment(AttachmentKind::Printable(attachment)) => {
                 details.push(attachment.to_string());
--- a/crates/ctl/src/fleet.rs
+++ b/crates/ctl/src/fleet.rs
@@ -1,5 +1,6 @@
-//! What the platform's table says of every proxy: each zone's digest, written
-//! by its relay, and the status rows of daemons without a relay.
+//! Status of all daemons, as the platform's table has it: the digest of each
+//! availability zone, written by the zone's relay, and the status rows of daemons that
+//! have no relay.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -10,46 +11,48 @@
 use crate::error::CtlError;
 use crate::store::CtlResult;
 
-/// A relay or proxy that has not reported for this long counts as gone.
-const LIVE_WINDOW_MS: u64 = 5_000;
+/// Maximum age of the last report of a live daemon. In a digest, a daemon's report is
+/// as old as the last renewal of the zone's relay lease.
+const LIVENESS_TIMEOUT_MS: u64 = 5_000;
 
-/// Every known proxy, in order of zone and id.
+/// Statuses of all known daemons, in order of availability zone and id.
 #[derive(Debug, Default)]
 pub struct FleetStatus {
-    /// Proxies heard of within the live window.
+    /// Daemons that reported within the liveness timeout.
     pub live: Vec<DaemonStatus>,
-    /// Proxies not heard of within it.
+    /// Daemons that did not.
     pub silent: Vec<DaemonStatus>,
 }
 
-/// Reads the fleet's status.
+/// Reads the statuses of all daemons.
 ///
 /// # Errors
-/// [`CtlError::Platform`] when the rows cannot be read.
+/// [`CtlError::Platform`] if the rows cannot be read.
 pub async fn read(platform: &PlatformClient) -> CtlResult<FleetStatus> {
     let leases = scan::<LeaseRecord>(platform, StoreKey::LEASE_PREFIX).await?;
     let digests = scan::<ZoneDigest>(platform, StoreKey::DIGEST_PREFIX).await?;
     let rows = scan::<DaemonStatus>(platform, StoreKey::DAEMON_PREFIX).await?;
     let now_ms = now_ms();
-    let mut newest: BTreeMap<(String, String), DaemonStatus> = BTreeMap::new();
+    let mut latest: BTreeMap<(String, String), DaemonStatus> = BTreeMap::new();
     let from_digests = digests.into_iter().flat_map(|(zone, digest)| {
         let reported_at_ms = leases.get(&zone).map_or(0, |lease| lease.renewed_at_ms);
         digest_statuses(&zone, digest, reported_at_ms)
     });
     for status in rows.into_values().chain(from_digests) {
         let key = (status.zone.clone(), status.id.clone());
-        let known = newest.get(&key);
+        let known = latest.get(&key);
         if known.is_none_or(|known| known.reported_at_ms <= status.reported_at_ms) {
-            newest.insert(key, status);
+            latest.insert(key, status);
         }
     }
-    let (live, silent) = newest
+    let (live, silent) = latest
         .into_values()
-        .partition(|status| now_ms.saturating_sub(status.reported_at_ms) <= LIVE_WINDOW_MS);
+        .partition(|status| now_ms.saturating_sub(status.reported_at_ms) <= LIVENESS_TIMEOUT_MS);
     Ok(FleetStatus { live, silent })
 }
 
-/// Reads every row under `prefix` that holds a `T`, by what follows the prefix.
+/// Reads all rows whose key starts with `prefix`, by the rest of the key. Rows that do
+/// not decode as a `T` are skipped.
 async fn scan<T: serde::de::DeserializeOwned>(
     platform: &PlatformClient,
     prefix: &str,
@@ -58,13 +61,14 @@
         .scan(prefix)
         .await
         .change_context(CtlError::Platform)?;
-    let named = |row: TableRow| {
+    let parse_row = |row: TableRow| {
         let name = row.key.strip_prefix(prefix)?.to_owned();
         Some((name, serde_json::from_value(row.value).ok()?))
     };
-    Ok(rows.into_iter().filter_map(named).collect())
+    Ok(rows.into_iter().filter_map(parse_row).collect())
 }
 
+/// Converts the digest of `zone` to one status per daemon.
 fn digest_statuses(zone: &str, digest: ZoneDigest, reported_at_ms: u64) -> Vec<DaemonStatus> {
     let mut rejected: BTreeMap<String, (u64, String)> = digest
         .rejected
@@ -86,10 +90,10 @@
     statuses
 }
 
-/// Wall time in milliseconds since the Unix epoch.
+/// Returns the wall-clock time in Unix milliseconds.
 fn now_ms() -> u64 {
-    let since = SystemTime::now()
+    let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or(Duration::ZERO);
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+    u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,6 +1,9 @@
-//! filbertctl: the operators' command line. Operators edit a pending tree
-//! (the draft), look at it and its diff, accept it as a new version, watch it
-//! settle on every proxy, and withdraw it.
+//! filbertctl: the command line for operators.
+//!
+//! Operators edit a pending settings tree (the draft), inspect it and its diff, accept
+//! it as a new version, wait until every daemon has applied that version, and withdraw
+//! it if need be. On the users' platform, they inspect the configuration, the hosts
+//! and the calls that are held back.
 
 pub mod cli;
 pub mod cmd;
--- a/crates/ctl/src/mesh.rs
+++ b/crates/ctl/src/mesh.rs
@@ -1,5 +1,6 @@
-//! The configuration on the users' platform as operators read it: its tree
-//! (site, organisation's host, service, route), and what changed between two.
+//! What operators see of the users' platform: the configuration as a tree (site, host
+//! name, service, route), the differences between two configurations, and values from the
+//! daemons' metrics.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -8,26 +9,26 @@
 use filbert_policy::routing::{ConfigVersion, RouteKind, RouteRule};
 use serde::Serialize;
 
-/// One route with everything that it inherits or sets, as text by key.
-pub type RouteKeys = BTreeMap<String, String>;
+/// Settings of the site or of a route, as text by key.
+pub type SettingValues = BTreeMap<String, String>;
 
-/// A version flattened: a path `HOST/SERVICE/ROUTE` and its keys.
+/// A version of the configuration as a tree, with routes by path.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct MeshTree {
-    /// The version's number.
+pub struct ConfigTree {
+    /// Number of the version.
     pub version: u64,
-    /// Settings of the whole site.
-    pub site: RouteKeys,
-    /// Routes by path.
-    pub routes: BTreeMap<String, RouteKeys>,
+    /// Limits that apply to all routes.
+    pub site: SettingValues,
+    /// Settings of each route, by its path `HOST/SERVICE/ROUTE`.
+    pub routes: BTreeMap<String, SettingValues>,
 }
 
-impl MeshTree {
-    /// Flattens a version.
+impl ConfigTree {
+    /// Converts a version of the configuration.
     #[must_use]
-    pub fn of(version: &ConfigVersion) -> MeshTree {
+    pub fn from_version(version: &ConfigVersion) -> ConfigTree {
         let limits = &version.limits;
-        let site = RouteKeys::from([
+        let site = SettingValues::from([
             ("head_bytes".to_owned(), limits.head_bytes.to_string()),
             ("body_bytes".to_owned(), limits.body_bytes.to_string()),
             (
@@ -42,64 +43,67 @@
         let routes = version
             .routes
             .iter()
-            .map(|route| (path_of(route), keys_of(route)))
+            .map(|route| (route_path(route), route_settings(route)))
             .collect();
-        MeshTree {
+        ConfigTree {
             version: version.number,
             site,
             routes,
         }
     }
 
-    /// The tree as indented text; only routes whose path begins with `below`.
+    /// Formats the tree as indented text, with only the routes whose path starts with
+    /// `path_prefix`.
     #[must_use]
-    pub fn text(&self, below: &str) -> String {
+    pub fn to_text(&self, path_prefix: &str) -> String {
         let mut text = format!("site (version {:08x})\n", self.version);
         for (key, value) in &self.site {
             let _ = writeln!(text, "  {key} = {value}");
         }
-        let mut last: Vec<&str> = Vec::new();
+        let mut last_parts: Vec<&str> = Vec::new();
         for (path, keys) in self
             .routes
             .iter()
-            .filter(|(path, _)| path.starts_with(below))
+            .filter(|(path, _)| path.starts_with(path_prefix))
         {
             let parts: Vec<&str> = path.split('/').collect();
-            let same = parts
+            let shared_depth = parts
                 .iter()
-                .zip(&last)
+                .zip(&last_parts)
                 .take_while(|(new, old)| new == old)
                 .count();
-            for (depth, part) in parts.iter().enumerate().skip(same) {
+            for (depth, part) in parts.iter().enumerate().skip(shared_depth) {
                 let _ = writeln!(text, "{}{part}", "  ".repeat(depth + 1));
             }
             for (key, value) in keys {
                 let _ = writeln!(text, "{}{key} = {value}", "  ".repeat(parts.len() + 1));
             }
-            last = parts;
+            last_parts = parts;
         }
         text
     }
 
-    /// What changes from `older` to this tree, a line a key.
+    /// Lists the changes from `older` to this tree, one line per key: removed (`-`),
+    /// changed (`~`) or added (`+`).
     #[must_use]
-    pub fn changes_since(&self, older: &MeshTree) -> Vec<String> {
-        let (old, new) = (older.flat(), self.flat());
+    pub fn changes_since(&self, older: &ConfigTree) -> Vec<String> {
+        let (before, after) = (older.flatten(), self.flatten());
         let mut lines = Vec::new();
-        for (key, was) in &old {
-            match new.get(key) {
-                None => lines.push(format!("- {key} = {was}")),
-                Some(is) if is != was => lines.push(format!("~ {key} = {was} -> {is}")),
+        for (key, old) in &before {
+            match after.get(key) {
+                None => lines.push(format!("- {key} = {old}")),
+                Some(new) if new != old => lines.push(format!("~ {key} = {old} -> {new}")),
                 Some(_) => {}
             }
         }
-        for (key, is) in new.iter().filter(|(key, _)| !old.contains_key(*key)) {
-            lines.push(format!("+ {key} = {is}"));
+        for (key, new) in after.iter().filter(|(key, _)| !before.contains_key(*key)) {
+            lines.push(format!("+ {key} = {new}"));
         }
         lines
     }
 
-    fn flat(&self) -> BTreeMap<String, &str> {
+    /// Returns the values of all keys, by `site.KEY` or `HOST/SERVICE/ROUTE.KEY`.
+    fn flatten(&self) -> BTreeMap<String, &str> {
         let site = self
             .site
             .iter()
@@ -112,7 +116,9 @@
     }
 }
 
-fn path_of(route: &RouteRule) -> String {
+/// Returns the path `HOST/SERVICE/ROUTE` of `route`, with its service of the largest
+/// weight.
+fn route_path(route: &RouteRule) -> String {
     let service = route
         .parts
         .iter()
@@ -121,7 +127,7 @@
     format!("{}/{service}/{}", route.host, route.name)
 }
 
-fn keys_of(route: &RouteRule) -> RouteKeys {
+fn route_settings(route: &RouteRule) -> SettingValues {
     let parts: Vec<String> = route
         .parts
         .iter()
@@ -132,7 +138,7 @@
         RouteKind::NonIdempotent => "at most once",
         RouteKind::Download => "download",
     };
-    RouteKeys::from([
+    SettingValues::from([
         ("prefix".to_owned(), route.prefix.clone()),
         ("kind".to_owned(), kind.to_owned()),
         (
@@ -149,91 +155,92 @@
     ])
 }
 
-/// What a host's daemon says of itself in its metrics.
+/// A host and the metrics of its daemon.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct HostStatus {
-    /// The host.
+    /// Name of the host.
     pub host: String,
-    /// Its availability zone.
+    /// Availability zone of the host.
     pub zone: String,
-    /// The service of its target.
+    /// Service of the host's target.
     pub service: String,
-    /// The daemon's own words; `None` when it does not answer.
-    pub daemon: Option<DaemonReadings>,
+    /// Metrics of the daemon; `None` if it does not answer or they have no version.
+    pub daemon: Option<DaemonMetrics>,
 }
 
-/// Readings of one daemon's metrics.
+/// Values from one daemon's metrics.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct DaemonReadings {
-    /// Version in force; 0 when there is none.
+pub struct DaemonMetrics {
+    /// Number of the version in force; 0 if there is none.
     pub version: u64,
-    /// Links to other daemons that are up.
+    /// Number of links to other daemons that are up.
     pub links: u64,
-    /// Calls at the target.
+    /// Number of calls that the target is running.
     pub running: u64,
-    /// Calls that wait for it.
+    /// Number of calls that wait for the target.
     pub waiting: u64,
-    /// Share of its recent runs that ended ill, 0 to 1.
+    /// Fraction of the target's recent runs that failed, 0 to 1.
     pub ill_share: f64,
-    /// Resident memory, in bytes.
+    /// Resident memory of the daemon in bytes.
     pub memory_bytes: u64,
 }
 
-impl DaemonReadings {
-    /// Reads the text exposition of a daemon's metrics; `None` when it names
-    /// no version.
+impl DaemonMetrics {
+    /// Parses metrics in the Prometheus text format. Returns `None` if they have no
+    /// version; other missing values become 0.
     #[must_use]
-    pub fn read(text: &str) -> Option<DaemonReadings> {
-        Some(DaemonReadings {
-            version: reading(text, "filbert_version")?,
-            links: reading(text, "filbert_links").unwrap_or_default(),
-            running: reading(text, "filbert_gate_running").unwrap_or_default(),
-            waiting: reading(text, "filbert_gate_waiting").unwrap_or_default(),
-            ill_share: reading(text, "filbert_target_ill_share").unwrap_or_default(),
-            memory_bytes: reading(text, "process_resident_memory_bytes").unwrap_or_default(),
+    pub fn parse(text: &str) -> Option<DaemonMetrics> {
+        Some(DaemonMetrics {
+            version: metric_value(text, "filbert_version")?,
+            links: metric_value(text, "filbert_links").unwrap_or_default(),
+            running: metric_value(text, "filbert_gate_running").unwrap_or_default(),
+            waiting: metric_value(text, "filbert_gate_waiting").unwrap_or_default(),
+            ill_share: metric_value(text, "filbert_target_ill_share").unwrap_or_default(),
+            memory_bytes: metric_value(text, "process_resident_memory_bytes").unwrap_or_default(),
         })
     }
 }
 
-/// The value of the first sample called `name`.
-fn reading<T: FromStr>(text: &str, name: &str) -> Option<T> {
-    let is_named = |line: &&str| {
+/// Returns the value of the first sample of the metric `name`; `None` if there is none
+/// or its value does not parse.
+fn metric_value<T: FromStr>(text: &str, name: &str) -> Option<T> {
+    let has_name = |line: &&str| {
         line.strip_prefix(name)
             .is_some_and(|rest| rest.starts_with(['{', ' ']))
     };
-    let sample = text.lines().find(is_named)?;
+    let sample = text.lines().find(has_name)?;
     sample.rsplit(' ').next()?.parse().ok()
 }
 
-/// Adds what a daemon's metrics say of organisations' calls, by organisation and
-/// verdict.
-pub fn organisation_calls(text: &str, calls: &mut BTreeMap<(String, String), u64>) {
-    let named = text
+/// Adds the call counts in a daemon's metrics to `calls`, by organisation and verdict.
+pub fn add_organisation_calls(text: &str, calls: &mut BTreeMap<(String, String), u64>) {
+    let samples = text
         .lines()
         .filter_map(|line| line.strip_prefix("filbert_organisation_calls{organisation=\""));
-    for line in named {
-        let Some((name, rest)) = line.split_once("\",verdict=\"") else {
+    for sample in samples {
+        let Some((name, rest)) = sample.split_once("\",verdict=\"") else {
             continue;
         };
         let Some((verdict, count)) = rest.split_once("\"} ") else {
             continue;
         };
         if let Ok(count) = count.parse::<u64>() {
-            let key = (unescaped(name), verdict.to_owned());
+            let key = (unescape_label(name), verdict.to_owned());
             *calls.entry(key).or_default() += count;
         }
     }
 }
 
-fn unescaped(label: &str) -> String {
+/// Removes the backslash escapes from a label value of the Prometheus text format.
+fn unescape_label(label: &str) -> String {
     let mut text = String::with_capacity(label.len());
-    let mut letters = label.chars();
-    while let Some(letter) = letters.next() {
-        if letter != '\\' {
-            text.push(letter);
+    let mut chars = label.chars();
+    while let Some(character) = chars.next() {
+        if character != '\\' {
+            text.push(character);
             continue;
         }
-        match letters.next() {
+        match chars.next() {
             Some('n') => text.push('\n'),
             Some(escaped) => text.push(escaped),
             None => {}
--- a/crates/ctl/src/store.rs
+++ b/crates/ctl/src/store.rs
@@ -1,5 +1,5 @@
-//! What the command line reads and writes in the platform: the pointer to the
-//! version in force, version objects, and the pending tree.
+//! Reads and writes the platform's store: the pointer to the version in force, version
+//! objects, and the pending tree.
 
 use error_stack::{Report, ResultExt};
 use filbert_store::{
@@ -10,27 +10,28 @@
 
 use crate::error::CtlError;
 
-/// The result type of platform steps.
+/// Result of a step of a command.
 pub type CtlResult<T> = Result<T, Report<CtlError>>;
 
-/// The version in force: the row (for compare-and-set), the pointer, the record.
-pub struct InForce {
-    /// The `current` row's version, for compare-and-set; `None` before the first accept.
+/// The version in force, and what a compare-and-set of its row needs. All fields are
+/// `None` before the first version is accepted.
+pub struct CurrentVersion {
+    /// Version of the `current` row, for compare-and-set.
     pub row_version: Option<u64>,
-    /// The pointer, when a version exists.
+    /// Content of the `current` row: the pointer to the version object.
     pub pointer: Option<CurrentPointer>,
-    /// The record, when a version exists.
+    /// Content of the version object.
     pub record: Option<VersionRecord>,
 }
 
-impl InForce {
-    /// The number in force, 0 before the first.
+impl CurrentVersion {
+    /// Returns the number of the version in force; 0 before the first.
     #[must_use]
     pub fn number(&self) -> u64 {
         self.pointer.as_ref().map_or(0, |pointer| pointer.number)
     }
 
-    /// The tree in force; empty before the first.
+    /// Returns the tree in force; empty before the first version.
     #[must_use]
     pub fn tree(&self) -> SettingsTree {
         self.record
@@ -43,14 +44,14 @@
 /// Reads the version in force.
 ///
 /// # Errors
-/// [`CtlError::Platform`] when the platform fails or its data is unreadable.
-pub async fn in_force(platform: &PlatformClient) -> CtlResult<InForce> {
+/// [`CtlError::Platform`] if the platform fails or its data cannot be decoded.
+pub async fn read_current(platform: &PlatformClient) -> CtlResult<CurrentVersion> {
     let row = platform
         .get(StoreKey::CURRENT)
         .await
         .change_context(CtlError::Platform)?;
     let Some(row) = row else {
-        return Ok(InForce {
+        return Ok(CurrentVersion {
             row_version: None,
             pointer: None,
             record: None,
@@ -58,19 +59,19 @@
     };
     let pointer: CurrentPointer = serde_json::from_value(row.value)
         .change_context(CtlError::Platform)
-        .attach("the current row is unreadable")?;
+        .attach("the `current` row cannot be decoded")?;
     let record = fetch_record(platform, &pointer.object).await?;
-    Ok(InForce {
+    Ok(CurrentVersion {
         row_version: Some(row.version),
         pointer: Some(pointer),
         record: Some(record),
     })
 }
 
-/// Fetches and decodes a version object.
+/// Fetches and decodes the version object with key `object`.
 ///
 /// # Errors
-/// [`CtlError::Platform`] when it is missing or undecodable.
+/// [`CtlError::Platform`] if the object is missing or cannot be decoded.
 pub async fn fetch_record(platform: &PlatformClient, object: &str) -> CtlResult<VersionRecord> {
     let bytes = platform
         .get_object(object)
@@ -82,19 +83,19 @@
     VersionCodec::decode(&bytes).map_err(|reason| Report::new(CtlError::Platform).attach(reason))
 }
 
-/// The pending tree as kept in the `draft` row.
+/// Content of the `draft` row: the pending tree.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DraftValue {
-    /// The tree, as TOML.
+    /// The pending tree as TOML.
     pub tree: String,
 }
 
-/// Reads the pending tree: the draft row's tree and row version, or the tree
-/// in force when there is no draft.
+/// Reads the pending tree and the version of the `draft` row. Without such a row,
+/// returns the tree in force and `None`.
 ///
 /// # Errors
-/// [`CtlError::Platform`] on platform failure.
-pub async fn draft(platform: &PlatformClient) -> CtlResult<(SettingsTree, Option<u64>)> {
+/// [`CtlError::Platform`] if the platform fails or its data cannot be decoded.
+pub async fn read_draft(platform: &PlatformClient) -> CtlResult<(SettingsTree, Option<u64>)> {
     let row: Option<TableRow> = platform
         .get(StoreKey::DRAFT)
         .await
@@ -106,41 +107,41 @@
             let tree = SettingsTree::from_toml(&value.tree).change_context(CtlError::Platform)?;
             Ok((tree, Some(row.version)))
         }
-        None => Ok((in_force(platform).await?.tree(), None)),
+        None => Ok((read_current(platform).await?.tree(), None)),
     }
 }
 
-/// Writes the pending tree, refusing if another operator changed it since it
-/// was read at `row_version`.
+/// Writes the pending tree, if the `draft` row still has the version `row_version`.
 ///
 /// # Errors
-/// [`CtlError::Refused`] on a lost race; [`CtlError::Platform`] on failure.
+/// [`CtlError::Refused`] if another operator changed the row since it was read;
+/// [`CtlError::Platform`] if the platform fails.
 pub async fn write_draft(
     platform: &PlatformClient,
     tree: &SettingsTree,
     row_version: Option<u64>,
 ) -> CtlResult<()> {
-    let expect = row_version.map_or(WriteCondition::Absent, WriteCondition::Version);
+    let condition = row_version.map_or(WriteCondition::Absent, WriteCondition::Version);
     let value = serde_json::to_value(DraftValue {
         tree: tree.to_toml(),
     })
     .change_context(CtlError::Platform)?;
     match platform
-        .put(StoreKey::DRAFT, expect, value)
+        .put(StoreKey::DRAFT, condition, value)
         .await
         .change_context(CtlError::Platform)?
     {
         WriteOutcome::Written(_) => Ok(()),
         WriteOutcome::Refused(_) => Err(Report::new(CtlError::Refused).attach(
-            "another operator changed the pending tree meanwhile; read it again and retry",
+            "another operator changed the pending tree in the meantime; check it with `filbertctl show --pending` and retry",
         )),
     }
 }
 
-/// Parses a branch path given on the command line.
+/// Parses the path of a branch from the command line.
 ///
 /// # Errors
-/// [`CtlError::BadInput`] when malformed.
+/// [`CtlError::BadInput`] if `text` is not such a path.
 pub fn parse_branch(text: &str) -> CtlResult<filbert_tree::BranchPath> {
     filbert_tree::BranchPath::parse(text).ok_or_else(|| {
         Report::new(CtlError::BadInput).attach(format!(
@@ -149,10 +150,10 @@
     })
 }
 
-/// A value as JSON for programs.
+/// Formats `value` as indented JSON.
 ///
 /// # Errors
-/// [`CtlError::Platform`] when what the platform gave cannot be written so.
-pub fn json<T: serde::Serialize>(value: &T) -> CtlResult<String> {
+/// [`CtlError::Platform`] if `value` cannot be represented in JSON.
+pub fn to_json<T: serde::Serialize>(value: &T) -> CtlResult<String> {
     serde_json::to_string_pretty(value).change_context(CtlError::Platform)
 }
