--- a/crates/standin/src/demo.rs
+++ b/crates/standin/src/demo.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use clap::Parser;
-use filbert_ctl::error::for_people;
+use filbert_ctl::error::format_report;
 use filbert_ctl::{cmd, Cli};
 
 use crate::mesh::LocalMesh;
@@ -111,7 +111,7 @@
     args.extend_from_slice(arguments);
     let cli = Cli::try_parse_from(args).map_err(|error| error.to_string())?;
     cmd::run(cli).await.map_err(|report| {
-        let text = for_people(&report);
+        let text = format_report(&report);
         println!("filbertctl: {text}");
         text
     })
--- a/src/bin/filbertctl.rs
+++ b/src/bin/filbertctl.rs
@@ -1,9 +1,10 @@
-//! filbertctl: parses its arguments and dispatches to the subcommand.
+//! Entry point of `filbertctl`: parses the arguments, runs the subcommand, and reports
+//! errors on standard error.
 
 use std::process::ExitCode;
 
 use clap::Parser;
-use filbert_ctl::error::for_people;
+use filbert_ctl::error::format_report;
 use filbert_ctl::{cmd, Cli};
 
 fn main() -> ExitCode {
@@ -22,7 +23,7 @@
     match runtime.block_on(cmd::run(cli)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
-            eprintln!("filbertctl: {}", for_people(&report));
+            eprintln!("filbertctl: {}", format_report(&report));
             report.current_context().exit_code()
         }
     }
--- a/tests/cli_messages.rs
+++ b/tests/cli_messages.rs
@@ -81,7 +81,7 @@
     let report = error_stack::Report::new(filbert_ctl::error::CtlError::BadInput)
         .attach("route names unknown service `nowhere`");
     assert_eq!(
-        filbert_ctl::error::for_people(&report),
+        filbert_ctl::error::format_report(&report),
         "bad input (route names unknown service `nowhere`)"
     );
 }
