--- a/crates/daemon/src/control/change.rs
+++ b/crates/daemon/src/control/change.rs
@@ -1,33 +1,38 @@
-//! Changes of the daemon's state that are worth a log line.
+//! State changes that the daemon logs.
 
 use std::fmt;
 
-/// A change of state worth a log line.
+/// A state change that is logged. [`Display`](fmt::Display) writes the log
+/// line: the `event=` name, then its keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StateChange {
-    /// A version was put in force; `bytes` is its size on the wire.
+    /// Version `to` replaced version `from` as the one in force; `bytes` is its
+    /// size on the wire.
     Applied { from: u64, to: u64, bytes: usize },
-    /// A version waits until its services have known targets.
+    /// A valid version uses `services` that the version in force does not use
+    /// and that have no known target.
     Staged { number: u64, services: Vec<String> },
-    /// A version was refused whole; the previous one stays in force.
+    /// A version failed validation; no part of it is applied and the previous
+    /// version stays in force.
     Rejected { number: u64, reason: String },
-    /// The platform stopped answering; the last applied version stays in force.
+    /// The platform became unreachable; version `serving` stays in force.
     PlatformLost { serving: u64 },
-    /// The platform answers again.
+    /// The platform is reachable again.
     PlatformBack,
-    /// A target on this host joined.
+    /// A target on this host announced itself for the first time.
     TargetJoined { service: String, address: String },
-    /// A target on this host is leaving.
+    /// A target on this host announced that it is leaving.
     TargetLeaving { service: String, address: String },
-    /// This daemon took the zone's lease.
+    /// This daemon acquired the zone's lease, with this fencing token.
     LeaseTaken { token: u64 },
-    /// This daemon's lease lapsed or was taken over.
+    /// This daemon's lease expired or was acquired by another daemon.
     LeaseLost { token: u64 },
-    /// This daemon relays without a lease, because its relay is lost.
+    /// This daemon lost its relay and became the relay itself, without a lease.
     RelayActing,
-    /// This daemon is linked to the zone's relay.
+    /// The relay at `address` accepted this daemon's link; `token` is the
+    /// fencing token of the relay's lease.
     RelayJoined { address: String, token: u64 },
-    /// The link to the relay was lost.
+    /// The link to the relay at `address` was lost.
     RelayLost { address: String },
 }
 
--- a/crates/daemon/src/control/directory.rs
+++ b/crates/daemon/src/control/directory.rs
@@ -1,5 +1,6 @@
-//! The targets this daemon knows: its host's, as announced; the zone's
-//! others, from its relay or its peers; and rows read in direct mode.
+//! The targets that this daemon knows, from three sources: announcements of
+//! targets on its own host, changes of other hosts' targets sent by the relay or
+//! by peers, and scans of the zone's target rows in the platform.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,33 +13,40 @@
 use crate::settings::DistributionMode;
 use crate::targets::ZoneTargets;
 
-/// A target on this host, as last announced.
+/// A target on this host.
 #[derive(Clone, Debug)]
 struct LocalTarget {
+    /// The target as it last announced itself.
     record: TargetRecord,
+    /// When it last announced itself.
     heard_at: Instant,
+    /// When its row was last due to be written.
     written_at: Instant,
 }
 
-/// Every target this daemon knows.
+/// All targets that this daemon knows.
 #[derive(Debug, Default)]
 pub(super) struct TargetDirectory {
+    /// This host's targets by address.
     local: BTreeMap<String, LocalTarget>,
-    /// Other hosts' targets by address, from the relay or from peers.
+    /// Other hosts' targets by address, from the relay or from peers, and from
+    /// the last scan once it was merged.
     pub(super) zone: BTreeMap<String, TargetRecord>,
-    direct: Vec<TargetRecord>,
-    direct_read_at_ms: u64,
-    /// What the proxy was last shown.
+    /// The zone's target rows as of the last scan.
+    scanned: Vec<TargetRecord>,
+    /// When the last scan arrived, by the wall clock.
+    scanned_at_ms: u64,
+    /// The view of the targets that the proxy has.
     pub(super) published: Arc<ZoneTargets>,
 }
 
 impl TargetDirectory {
-    /// Whether rows read in direct mode are known, which age with time.
-    pub(super) fn has_rows(&self) -> bool {
-        !self.direct.is_empty()
+    /// Whether targets from a scan are known.
+    pub(super) fn has_scanned_rows(&self) -> bool {
+        !self.scanned.is_empty()
     }
 
-    /// This host's targets.
+    /// Returns this host's targets.
     pub(super) fn local_records(&self) -> Vec<TargetRecord> {
         self.local
             .values()
@@ -46,14 +54,16 @@
             .collect()
     }
 
-    /// Every target of the zone this daemon can vouch for to a peer.
+    /// Returns the targets that a peer is sent: this host's and those received
+    /// for other hosts, without rows from a scan that was not merged.
     pub(super) fn zone_records(&self) -> Vec<TargetRecord> {
         let mut records = self.local_records();
         records.extend(self.zone.values().cloned());
         records
     }
 
-    /// Addresses of the zone's targets on `daemon`'s host.
+    /// Returns the addresses of the targets that the daemon with id `daemon`
+    /// announced.
     pub(super) fn target_addresses_of(&self, daemon: &str) -> Vec<String> {
         self.zone
             .values()
@@ -62,33 +72,34 @@
             .collect()
     }
 
-    /// Takes the targets read from rows into the zone map, where they expire
-    /// like those of any host that is not linked.
+    /// Moves the targets of the last scan to the other hosts' targets, where they
+    /// expire unless their host links to this relay. Targets of the daemon
+    /// `own_id` and addresses that are already known are dropped.
     ///
-    /// Guards against a target that is gone staying in view for good (seen as
-    /// calls that go to it and fail): rows are judged as of their last scan,
-    /// and a daemon that has a relay again, or is one, scans them no more.
-    pub(super) fn merge_scanned_rows(&mut self, own: &str) {
-        for record in std::mem::take(&mut self.direct) {
+    /// Guards against a dead target that is never removed, which shows as calls
+    /// that are sent to it and fail. The age of a row is measured at the last
+    /// scan, and a daemon stops scanning once it has a relay or is one.
+    pub(super) fn merge_scanned_rows(&mut self, own_id: &str) {
+        for record in std::mem::take(&mut self.scanned) {
             let known = self.zone.contains_key(&record.address);
-            if record.daemon != own && !known {
+            if record.daemon != own_id && !known {
                 self.zone.insert(record.address.clone(), record);
             }
         }
     }
 
-    /// Takes a change of other hosts' targets into the zone map. `own` is this
-    /// daemon's id, whose targets it knows better itself.
-    pub(super) fn apply_change(&mut self, change: &TargetChange, own: &str) {
+    /// Applies a change of other hosts' targets. Added or updated targets of this
+    /// daemon, whose id is `own_id`, are ignored: its own announcements are newer.
+    pub(super) fn apply_change(&mut self, change: &TargetChange, own_id: &str) {
         if change.reset {
             self.zone.clear();
-            self.direct.clear();
+            self.scanned.clear();
         }
         for address in &change.removed {
             self.zone.remove(address);
         }
         for record in &change.upserts {
-            if record.daemon != own {
+            if record.daemon != own_id {
                 self.zone.insert(record.address.clone(), record.clone());
             }
         }
@@ -101,6 +112,7 @@
 }
 
 impl ControlState {
+    /// Handles an announcement by a target on this host.
     pub(super) fn on_announced(
         &mut self,
         announcement: TargetAnnouncement,
@@ -116,12 +128,12 @@
             heard_at_ms: self.at.wall_ms(),
         };
         let previous = self.directory.local.get(&record.address).cloned();
-        note_announced(
+        record_announcement(
             previous.as_ref().map(|local| &local.record),
             &record,
             effects,
         );
-        let change = local_change(previous.as_ref().map(|local| &local.record), &record);
+        let change = announcement_change(previous.as_ref().map(|local| &local.record), &record);
         let written_at = match previous {
             Some(local) if change.is_empty() => local.written_at,
             _ => {
@@ -137,14 +149,14 @@
                 written_at,
             },
         );
-        self.spread(change, effects);
+        self.propagate_local_change(change, effects);
         self.publish_targets(effects);
     }
 
-    /// Tells the zone about a change of this host's targets: through the
-    /// relay, or to the peers when this daemon is the relay. Loads alone wait
+    /// Propagates a change of this host's targets to the zone: to the relay, and
+    /// to the peers when this daemon is the relay. A change of loads only waits
     /// for the next batch.
-    fn spread(&mut self, change: TargetChange, effects: &mut Vec<ControlEffect>) {
+    fn propagate_local_change(&mut self, change: TargetChange, effects: &mut Vec<ControlEffect>) {
         if change.upserts.is_empty() && change.removed.is_empty() {
             self.pending_loads.extend(change.loads);
             return;
@@ -153,7 +165,8 @@
         self.tell_peers_of(&change, None, effects);
     }
 
-    /// Sends the loads that moved since the last batch.
+    /// Sends the loads that changed since the last batch to the relay, and to the
+    /// peers when this daemon is the relay.
     pub(super) fn broadcast_loads(&mut self, effects: &mut Vec<ControlEffect>) {
         if self.pending_loads.is_empty() {
             return;
@@ -168,28 +181,29 @@
         self.tell_peers_of(&change, None, effects);
     }
 
-    /// Drops this host's targets that stopped announcing themselves.
-    pub(super) fn expire_local(&mut self, effects: &mut Vec<ControlEffect>) {
+    /// Removes this host's targets that have not announced themselves within the
+    /// target expiry.
+    pub(super) fn expire_local_targets(&mut self, effects: &mut Vec<ControlEffect>) {
         let now = self.at.now;
         let expiry = self.settings.target_expiry;
-        let gone: Vec<String> = self
+        let expired: Vec<String> = self
             .directory
             .local
             .values()
             .filter(|local| now.saturating_duration_since(local.heard_at) > expiry)
             .map(|local| local.record.address.clone())
             .collect();
-        if gone.is_empty() {
+        if expired.is_empty() {
             return;
         }
-        for address in &gone {
+        for address in &expired {
             self.directory.local.remove(address);
         }
         let change = TargetChange {
-            removed: gone,
+            removed: expired,
             ..TargetChange::default()
         };
-        self.spread(change, effects);
+        self.propagate_local_change(change, effects);
         self.publish_targets(effects);
     }
 
@@ -198,26 +212,28 @@
         records: Vec<TargetRecord>,
         effects: &mut Vec<ControlEffect>,
     ) {
-        self.reading_targets = false;
+        self.target_scan_pending = false;
         self.on_platform_answered(effects);
-        // A scan that arrives once there is a relay is not repeated, so what
-        // it shows would never age.
-        let scans =
+        // A daemon that is the relay or is linked to one ignores the scan: it
+        // scans no more, so targets from this scan would never expire.
+        let uses_scans =
             self.settings.mode == DistributionMode::Direct || self.zone.role == ZoneRole::Seeking;
-        if !scans {
+        if !uses_scans {
             return;
         }
-        self.directory.direct = records;
-        self.directory.direct_read_at_ms = self.at.wall_ms();
+        self.directory.scanned = records;
+        self.directory.scanned_at_ms = self.at.wall_ms();
         self.publish_targets(effects);
     }
 
-    /// Rewrites this host's target rows that are due, in direct mode.
+    /// Rewrites those of this host's target rows that are due for a refresh. The
+    /// caller checks that this daemon publishes its own rows.
     pub(super) fn refresh_target_rows(&mut self, effects: &mut Vec<ControlEffect>) {
         let now = self.at.now;
         let wall_ms = self.at.wall_ms();
         for local in self.directory.local.values_mut() {
-            if now.saturating_duration_since(local.written_at) < self.settings.refresh {
+            if now.saturating_duration_since(local.written_at) < self.settings.row_refresh_interval
+            {
                 continue;
             }
             local.written_at = now;
@@ -229,22 +245,22 @@
     }
 
     fn write_target(&self, record: &TargetRecord, effects: &mut Vec<ControlEffect>) {
-        if self.uses_rows() {
+        if self.publishes_own_rows() {
             effects.push(ControlEffect::WriteTarget {
                 record: record.clone(),
             });
         }
     }
 
-    /// Rebuilds the proxy's view of the zone's targets.
+    /// Rebuilds the proxy's view of the zone's targets, and publishes it if it
+    /// changed. The age of a scanned row is measured at the last scan, not now.
     ///
-    /// Guards against a zone cut off from the platform losing its other
-    /// hosts' targets: while scans fail, rows read in direct mode cannot be
-    /// refreshed, and judging their age by the clock would expire every live
-    /// target after the expiry (seen as 503s for services with no target on
-    /// this host). Their age is judged as of the last scan instead; a target
-    /// that died meanwhile refuses connections, which the proxy retries
-    /// elsewhere.
+    /// Guards against a zone that loses all targets on other hosts while it is
+    /// disconnected from the platform, which shows as 503 responses for services
+    /// with no target on this host. Scans fail during that time, so by the
+    /// current time every live target would pass the target expiry. A target
+    /// that died since the last scan refuses connections, and the proxy retries
+    /// such calls on another target.
     pub(super) fn publish_targets(&mut self, effects: &mut Vec<ControlEffect>) {
         let directory = &self.directory;
         let expiry_ms = duration_ms(self.settings.target_expiry);
@@ -260,18 +276,15 @@
             .zone
             .values()
             .filter(|record| !directory.local.contains_key(&record.address));
-        let direct = directory
-            .direct
+        let scanned = directory
+            .scanned
             .iter()
             .filter(|record| !directory.local.contains_key(&record.address))
             .filter(|record| !directory.zone.contains_key(&record.address))
             .filter(|record| {
-                directory
-                    .direct_read_at_ms
-                    .saturating_sub(record.heard_at_ms)
-                    <= expiry_ms
+                directory.scanned_at_ms.saturating_sub(record.heard_at_ms) <= expiry_ms
             });
-        let view = ZoneTargets::from_records(local.chain(zone).chain(direct));
+        let view = ZoneTargets::from_records(local.chain(zone).chain(scanned));
         if *directory.published != view {
             self.directory.published = Arc::new(view);
             effects.push(ControlEffect::PublishTargets {
@@ -282,12 +295,13 @@
     }
 }
 
-/// What one announcement changes about its target.
-fn local_change(old: Option<&TargetRecord>, new: &TargetRecord) -> TargetChange {
-    let same_but_load =
+/// Returns what the announcement `new` changes about its target: nothing, its
+/// load only, or the whole record.
+fn announcement_change(old: Option<&TargetRecord>, new: &TargetRecord) -> TargetChange {
+    let only_load_may_differ =
         old.is_some_and(|old| old.leaving == new.leaving && old.service == new.service);
     let mut change = TargetChange::default();
-    if !same_but_load {
+    if !only_load_may_differ {
         change.upserts.push(new.clone());
     } else if old.is_some_and(|old| old.load != new.load) {
         change.loads.push((new.address.clone(), new.load));
@@ -295,7 +309,8 @@
     change
 }
 
-fn note_announced(
+/// Records the state change of a target that joins or starts to leave.
+fn record_announcement(
     old: Option<&TargetRecord>,
     new: &TargetRecord,
     effects: &mut Vec<ControlEffect>,
--- a/crates/daemon/src/control/lease.rs
+++ b/crates/daemon/src/control/lease.rs
@@ -1,5 +1,6 @@
-//! The zone's lease: taking, renewing, judging and losing it. The row in the
-//! platform's table is written by compare-and-set only.
+//! The zone's lease: acquiring and renewing it, detecting that it expired, and
+//! losing it. The lease row in the platform's table is written by
+//! compare-and-set only.
 
 use std::time::Instant;
 
@@ -10,63 +11,74 @@
 use super::{ControlEffect, ControlState, LeaseRow, StateChange, ZoneRole};
 use crate::messages::PeerMessage;
 
-/// Renewals per lease time.
+/// Number of renewals within one lease duration. The same fraction of the lease
+/// duration is the shortest regular interval at which daemons that do not hold
+/// the lease read its row.
 const RENEWALS_PER_LEASE: u32 = 3;
 
-/// The lease while held.
+/// The lease that this daemon holds.
 #[derive(Clone, Debug)]
 pub(super) struct HeldLease {
     pub(super) record: LeaseRecord,
+    /// Version of the lease row, which the next compare-and-set expects.
     pub(super) row_version: u64,
-    /// When the write that last took effect was sent.
+    /// When the last successful write of the row was sent.
     pub(super) renewed_at: Instant,
 }
 
-/// The lease row as last read, and since when it has not changed.
+/// The lease row as last read while this daemon does not hold the lease.
 #[derive(Clone, Debug)]
 pub(super) struct SeenLease {
     pub(super) row_version: u64,
+    /// When the row was first read at this version.
     pub(super) since: Instant,
-    /// Whether it was seen to change: its holder was alive between two reads.
+    /// Whether the row changed between the last two reads, which shows that its
+    /// holder was alive.
     pub(super) renewed: bool,
 }
 
-/// The call on the lease row under way, if any; one at a time.
+/// The platform call on the lease row that is in flight. At most one is at any
+/// time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LeaseCall {
     Idle,
     Reading,
-    /// Writing, since this moment.
+    /// The row is being written; the write was sent at this time.
     Writing(Instant),
 }
 
 impl ControlState {
+    /// Reads the lease row if its next read is due and no call on it is in flight.
     pub(super) fn read_lease_if_due(&mut self, effects: &mut Vec<ControlEffect>) {
         if self.at.now < self.zone.next_lease_read || self.zone.lease_call != LeaseCall::Idle {
             return;
         }
         let window = read_spread_window(&self.settings, self.zone.shape.size);
-        let pause = (self.settings.lease_time / RENEWALS_PER_LEASE).max(window);
-        let jitter = pause.mul_f64(self.rng.random::<f64>() * 0.5);
-        self.zone.next_lease_read = self.at.now + pause + jitter;
+        let interval = (self.settings.lease_duration / RENEWALS_PER_LEASE).max(window);
+        let jitter = interval.mul_f64(self.rng.random::<f64>() * 0.5);
+        self.zone.next_lease_read = self.at.now + interval + jitter;
         self.zone.lease_call = LeaseCall::Reading;
         effects.push(ControlEffect::ReadLease);
     }
 
-    /// Guards against a holder that was paused past its lease and goes on as
-    /// if it held it (seen as two relays at once): the monotonic clock runs
-    /// on during the pause, so the first event after it finds the lease
-    /// lapsed before anything else is done. What it sent before is fenced by
-    /// its token.
-    pub(super) fn check_lease(&mut self, effects: &mut Vec<ControlEffect>) {
-        let lapsed = self.zone.held.as_ref().is_some_and(|held| {
-            self.at.now.saturating_duration_since(held.renewed_at) >= self.settings.lease_time
+    /// Gives up the held lease once it has expired. Runs before every event is
+    /// handled.
+    ///
+    /// Guards against a holder that was paused for longer than its lease and
+    /// continues as leader, which shows as two relays at once. The monotonic
+    /// clock advances during the pause, so the first event after it finds the
+    /// lease expired. Messages sent before the pause are fenced by their token.
+    pub(super) fn expire_held_lease(&mut self, effects: &mut Vec<ControlEffect>) {
+        let expired = self.zone.held.as_ref().is_some_and(|held| {
+            self.at.now.saturating_duration_since(held.renewed_at) >= self.settings.lease_duration
         });
-        if lapsed {
+        if expired {
             self.lose_lease(effects);
         }
     }
 
+    /// Gives up the held lease. This daemon remains the relay, without a lease,
+    /// and reads the lease row at the next tick.
     fn lose_lease(&mut self, effects: &mut Vec<ControlEffect>) {
         let Some(held) = self.zone.held.take() else {
             return;
@@ -81,13 +93,15 @@
         self.tell_platform_state(effects);
     }
 
+    /// Renews the held lease if it is due, unless a call on the lease row is in
+    /// flight or the daemon is stopping.
     pub(super) fn renew_lease_if_due(&mut self, effects: &mut Vec<ControlEffect>) {
         let Some(held) = &self.zone.held else {
             return;
         };
-        let due = self.settings.lease_time / RENEWALS_PER_LEASE;
+        let interval = self.settings.lease_duration / RENEWALS_PER_LEASE;
         let age = self.at.now.saturating_duration_since(held.renewed_at);
-        if age < due || self.zone.lease_call != LeaseCall::Idle || self.zone.stopping {
+        if age < interval || self.zone.lease_call != LeaseCall::Idle || self.zone.stopping {
             return;
         }
         let record = LeaseRecord {
@@ -108,7 +122,9 @@
         effects.push(ControlEffect::WriteLease { expect, record });
     }
 
-    fn take_lease(&mut self, row: Option<&LeaseRow>, effects: &mut Vec<ControlEffect>) {
+    /// Writes this daemon into the lease row as the holder, with a token above
+    /// every token seen, provided that the row still is as in `row`.
+    fn try_acquire_lease(&mut self, row: Option<&LeaseRow>, effects: &mut Vec<ControlEffect>) {
         if self.zone.lease_call != LeaseCall::Idle || self.zone.stopping {
             return;
         }
@@ -136,7 +152,7 @@
         if self.zone.role == ZoneRole::Leader {
             return;
         }
-        self.judge_lease(row, effects);
+        self.evaluate_lease_row(row, effects);
     }
 
     pub(super) fn on_lease_refused(
@@ -146,16 +162,16 @@
     ) {
         self.zone.lease_call = LeaseCall::Idle;
         self.on_platform_answered(effects);
-        // Guards against giving up a lease that is still ours: a renewal whose
-        // reply was lost moved the row on, so the next one is refused though
-        // nobody else took it.
-        let still_ours = row.as_ref().filter(|row| self.is_own(&row.record));
-        if let (Some(row), Some(held)) = (still_ours, self.zone.held.as_mut()) {
+        // Guards against giving up a lease that this daemon still holds. A
+        // renewal whose response was lost has advanced the row version, so the
+        // next renewal is refused although no other daemon acquired the lease.
+        let own_row = row.as_ref().filter(|row| self.is_own_lease(&row.record));
+        if let (Some(row), Some(held)) = (own_row, self.zone.held.as_mut()) {
             held.row_version = row.version;
             return;
         }
         self.lose_lease(effects);
-        self.judge_lease(row, effects);
+        self.evaluate_lease_row(row, effects);
     }
 
     pub(super) fn on_lease_written(&mut self, row: LeaseRow, effects: &mut Vec<ControlEffect>) {
@@ -167,10 +183,17 @@
         if row.record.address.is_empty() {
             return;
         }
-        self.hold_lease(row, sent_at, effects);
+        self.record_held_lease(row, sent_at, effects);
     }
 
-    fn hold_lease(&mut self, row: LeaseRow, sent_at: Instant, effects: &mut Vec<ControlEffect>) {
+    /// Records the lease row that a write sent at `sent_at` stored, and makes
+    /// this daemon the leader if it is not already.
+    fn record_held_lease(
+        &mut self,
+        row: LeaseRow,
+        sent_at: Instant,
+        effects: &mut Vec<ControlEffect>,
+    ) {
         let token = row.record.token;
         self.zone.held = Some(HeldLease {
             record: row.record,
@@ -203,24 +226,27 @@
         self.tell_platform_state(effects);
         self.zone.next_current_read = self.at.now;
         self.read_current_if_due(self.settings.poll_interval, effects);
-        self.check_lease(effects);
+        self.expire_held_lease(effects);
     }
 
-    fn is_own(&self, record: &LeaseRecord) -> bool {
+    /// Whether this run of the daemon holds the lease that `record` describes. A
+    /// released lease has an empty address.
+    fn is_own_lease(&self, record: &LeaseRecord) -> bool {
         record.holder == self.settings.id
             && record.incarnation == self.settings.incarnation
             && !record.address.is_empty()
     }
 
-    /// Decides what a lease row read while not holding the lease calls for.
+    /// Decides from the lease row, while another daemon may hold the lease,
+    /// whether to acquire the lease or to follow its holder.
     ///
-    /// Whether the lease has lapsed is judged by this daemon's own monotonic
-    /// clock: the row has not changed for a lease time since it was first
-    /// seen so. The holder counts from before its write, so it always stops
-    /// first, whatever either wall clock says.
-    fn judge_lease(&mut self, row: Option<LeaseRow>, effects: &mut Vec<ControlEffect>) {
+    /// The lease has expired when its row has not changed for the lease
+    /// duration, measured by this daemon's monotonic clock from the first read
+    /// of the unchanged row. The holder measures from before it sent the write,
+    /// so it always stops first, even when wall clocks differ.
+    fn evaluate_lease_row(&mut self, row: Option<LeaseRow>, effects: &mut Vec<ControlEffect>) {
         let Some(row) = row else {
-            self.take_lease(None, effects);
+            self.try_acquire_lease(None, effects);
             return;
         };
         self.zone.token = self.zone.token.max(row.record.token);
@@ -235,9 +261,9 @@
         });
         let released = row.record.address.is_empty();
         let own = row.record.holder == self.settings.id;
-        let lapsed = self.at.now.saturating_duration_since(since) >= self.settings.lease_time;
-        if released || own || lapsed {
-            self.take_lease(Some(&row), effects);
+        let expired = self.at.now.saturating_duration_since(since) >= self.settings.lease_duration;
+        if released || own || expired {
+            self.try_acquire_lease(Some(&row), effects);
         } else {
             self.follow(row.record.address, effects);
         }
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -1,10 +1,13 @@
-//! The daemon's one reducer: every control event goes through
-//! [`ControlState::step`], which updates the state and returns the effects for
-//! the shell to carry out. Nothing here does I/O or reads a clock.
+//! The daemon's control logic as a pure reducer. Every control event goes
+//! through [`ControlState::step`], which updates the state and returns the
+//! effects that the control loop executes. The reducer does no I/O and reads no
+//! clock.
 //!
-//! [`version`] decides what is in force, [`directory`] what targets there are,
-//! [`zone`] who relays in this availability zone (by its [`lease`]), [`uplink`]
-//! follows the relay, [`peers`] is the relay's side.
+//! - [`version`] selects the version in force.
+//! - [`directory`] keeps the known targets.
+//! - [`zone`] and [`lease`] elect the relay of the availability zone.
+//! - [`uplink`] keeps the link to the zone's relay.
+//! - [`peers`] serves the linked peers while this daemon is the relay.
 
 mod change;
 mod directory;
@@ -40,94 +43,98 @@
 pub use zone::ZoneRole;
 use zone::ZoneState;
 
-/// The platform call an event reports on.
+/// The platform call that failed, as [`ControlEvent::PlatformFailed`] reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlatformStep {
-    /// Reading the `current` row.
+    /// Reading the `current` row, which names the version in force.
     ReadCurrent,
-    /// Fetching a version object.
+    /// Fetching a version object or a delta.
     FetchVersion,
     /// Scanning the zone's target rows.
     ReadTargets,
     /// Reading or writing the zone's lease row.
     Lease,
-    /// Writing another row.
+    /// Writing any row other than the lease row.
     Write,
 }
 
-/// A lease row as read: the row's version and its value.
+/// The lease row as stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseRow {
     /// The row's version, for compare-and-set.
     pub version: u64,
-    /// Its value.
+    /// The row's value.
     pub record: LeaseRecord,
 }
 
-/// Everything that can happen to the daemon's control state.
+/// The input of [`ControlState::step`].
 #[derive(Clone, Debug)]
 pub enum ControlEvent {
-    /// Time passed.
+    /// The periodic timer fired.
     Tick,
-    /// The `current` row names this version and its object (number 0 when
-    /// there is none yet), and where the steps to it are, if anywhere.
+    /// The `current` row was read. It names version `number` (0 when no version
+    /// exists), its `object` in the object store, and a `delta` to it if one is
+    /// stored.
     CurrentRead {
         number: u64,
         object: String,
         delta: Option<DeltaPointer>,
     },
-    /// The steps to version `number` from `base` arrived, `bytes` long.
+    /// The delta from version `base` to version `number` was fetched, `bytes`
+    /// long on the wire.
     DeltaFetched {
         base: u64,
         number: u64,
         delta: TreeDelta,
         bytes: usize,
     },
-    /// A version object arrived, `bytes` long on the wire.
+    /// A version object was fetched, `bytes` long on the wire.
     VersionFetched {
         record: Arc<VersionRecord>,
         bytes: usize,
     },
-    /// The zone's target rows.
+    /// The zone's target rows were scanned.
     TargetsRead { records: Vec<TargetRecord> },
     /// A target on this host announced itself.
     TargetAnnounced { announcement: TargetAnnouncement },
     /// A platform call failed.
     PlatformFailed { step: PlatformStep },
-    /// The zone's lease row, or `None` when there is none.
+    /// The zone's lease row was read; `None` if it does not exist.
     LeaseRead { row: Option<LeaseRow> },
-    /// The zone's digest was not written, or its outcome is unknown.
+    /// Writing the zone's digest row failed, or its outcome is unknown.
     DigestWriteFailed,
-    /// A lease write took effect; the row as stored.
+    /// A lease write succeeded and stored `row`.
     LeaseWritten { row: LeaseRow },
-    /// A lease write was refused; the row as it is now.
+    /// The compare-and-set of a lease write failed; `row` is what is stored, or
+    /// `None` if the row does not exist.
     LeaseWriteRefused { row: Option<LeaseRow> },
-    /// The relay at the end of link `link` sent a message.
+    /// The relay sent a message on link `link`.
     RelayMessageReceived { link: u64, message: RelayMessage },
-    /// Link `link` failed, was closed, or went silent.
+    /// Link `link` to the relay failed, was closed, or became unresponsive.
     LinkDown { link: u64 },
-    /// A peer sent a message.
+    /// A peer sent a message on its link, whose number is `peer`.
     PeerMessageReceived { peer: u64, message: PeerMessage },
-    /// A peer's link closed.
+    /// The link with number `peer` was closed.
     PeerDisconnected { peer: u64 },
-    /// A planned stop began.
+    /// A graceful shutdown began.
     Stopping,
 }
 
-/// What the shell must do after a step.
+/// The output of [`ControlState::step`]: an action for the control loop to
+/// execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlEffect {
     /// Read the `current` row.
     ReadCurrent,
-    /// Fetch version `number` from the object store.
+    /// Fetch version `number` whole, from `object` in the object store.
     FetchVersion { number: u64, object: String },
-    /// Fetch the steps to version `number` from the object store.
+    /// Fetch the delta to version `number` from the object store.
     FetchDelta { number: u64, pointer: DeltaPointer },
     /// Scan the zone's target rows.
     ReadTargets,
-    /// Put this compiled version in force for the proxy.
+    /// Make the proxy route calls by `table`, compiled from version `number`.
     Apply { number: u64, table: Arc<RouteTable> },
-    /// Give the proxy this view of the zone's targets.
+    /// Replace the proxy's view of the zone's targets.
     PublishTargets { targets: Arc<ZoneTargets> },
     /// Write a target's row.
     WriteTarget { record: TargetRecord },
@@ -137,72 +144,79 @@
     WriteDigest { digest: ZoneDigest },
     /// Read the zone's lease row.
     ReadLease,
-    /// Write the zone's lease row by compare-and-set.
+    /// Write the zone's lease row by compare-and-set, on condition `expect`.
     WriteLease {
         expect: WriteCondition,
         record: LeaseRecord,
     },
-    /// Open link `link` to the relay at `address`.
+    /// Open a link with number `link` to the relay at `address`.
     Connect { link: u64, address: String },
-    /// Close link `link`.
+    /// Close link `link` to the relay.
     Disconnect { link: u64 },
-    /// Send to the relay on link `link`.
+    /// Send `message` to the relay on link `link`.
     SendToRelay { link: u64, message: PeerMessage },
-    /// Send to these peers.
+    /// Send `message` to each of `peers`.
     SendToPeers {
         peers: Vec<u64>,
         message: Arc<RelayMessage>,
     },
-    /// Close a peer's link once what was sent to it has left.
+    /// Close the link of `peer` once the messages queued for it are sent.
     ClosePeer { peer: u64 },
-    /// Record a change of state: a log line and, where one applies, a counter.
+    /// Log a state change and increment its counter, if it has one.
     RecordStateChange { change: StateChange },
 }
 
-/// The status shown on the admin endpoint.
+/// The daemon's status, served as JSON by the admin endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Eq, serde::Serialize)]
 pub struct StatusView {
     /// The daemon's id.
     pub id: String,
-    /// Its zone.
+    /// The availability zone the daemon belongs to.
     pub zone: String,
     /// The version in force (0 before the first).
     pub applied: u64,
-    /// A version that waits for its services' targets.
+    /// The version that waits for targets of its services, if any.
     pub staged: Option<u64>,
-    /// The newest version refused, with the reason.
+    /// The number of the newest rejected version, with the reason.
     pub rejected: Option<(u64, String)>,
-    /// Whether the platform answered the last call, here or at the relay.
+    /// Whether the last platform call succeeded: the relay's for a follower, this
+    /// daemon's own for any other role.
     pub platform_reachable: bool,
-    /// Its part in the zone: `direct`, `seeking`, `follower`, `acting` or `leader`.
+    /// The daemon's role in the zone: `direct`, `seeking`, `follower`, `acting`
+    /// or `leader`.
     pub role: String,
-    /// The fencing token of the lease it holds or last saw.
+    /// The fencing token of the lease that the daemon holds or last saw.
     pub token: u64,
-    /// Daemons linked to it, when it relays.
+    /// The number of linked peers, when the daemon is the relay.
     pub peers: usize,
-    /// Serving targets per service.
+    /// The number of targets that take new calls, per service.
     pub targets: BTreeMap<String, usize>,
 }
 
-/// The reducer's state.
+/// The state of the control reducer.
 pub struct ControlState {
     settings: ControlSettings,
+    /// The time of the last event; its monotonic part never goes back.
     at: ClockReading,
     versions: VersionState,
     directory: TargetDirectory,
     zone: ZoneState,
     peers: PeerTable,
+    /// Loads by target address that the next batch passes on.
     pending_loads: BTreeMap<String, u32>,
     current_read_pending: bool,
-    reading_targets: bool,
+    target_scan_pending: bool,
+    /// Whether the last platform call succeeded.
     platform_reachable: bool,
+    /// Platform calls that failed since the last one that succeeded.
     platform_failures: u32,
-    reported_at: Option<Instant>,
+    status_written_at: Option<Instant>,
     rng: StdRng,
 }
 
 impl ControlState {
-    /// A daemon that has applied nothing yet, started at `at`.
+    /// Returns the state of a daemon that started at `at` and has applied no
+    /// version yet.
     #[must_use]
     pub fn new(settings: ControlSettings, at: ClockReading) -> ControlState {
         let mut rng = StdRng::seed_from_u64(settings.incarnation);
@@ -215,28 +229,28 @@
             peers: PeerTable::default(),
             pending_loads: BTreeMap::new(),
             current_read_pending: false,
-            reading_targets: false,
+            target_scan_pending: false,
             platform_reachable: true,
             platform_failures: 0,
-            reported_at: None,
+            status_written_at: None,
             rng,
             settings,
         }
     }
 
-    /// The version in force.
+    /// The number of the version in force (0 before the first).
     #[must_use]
     pub fn applied(&self) -> u64 {
         self.versions.applied
     }
 
-    /// This daemon's part in its zone.
+    /// This daemon's role in its zone.
     #[must_use]
     pub fn role(&self) -> ZoneRole {
         self.zone.role
     }
 
-    /// The status for the admin endpoint.
+    /// Returns the status for the admin endpoint.
     #[must_use]
     pub fn view(&self) -> StatusView {
         StatusView {
@@ -259,15 +273,15 @@
         }
     }
 
-    /// Applies one event, which happened at `at`, and returns what the shell
-    /// must do.
+    /// Handles an event that happened at `at` and returns the effects to execute,
+    /// in order. An expired lease is given up before the event is handled.
     pub fn step(&mut self, at: ClockReading, event: ControlEvent) -> Vec<ControlEffect> {
         let mut effects = Vec::new();
         self.at = ClockReading {
             now: self.at.now.max(at.now),
             wall: at.wall,
         };
-        self.check_lease(&mut effects);
+        self.expire_held_lease(&mut effects);
         match event {
             ControlEvent::Tick => self.on_tick(&mut effects),
             ControlEvent::CurrentRead {
@@ -308,18 +322,19 @@
     }
 
     fn on_tick(&mut self, effects: &mut Vec<ControlEffect>) {
-        self.expire_local(effects);
+        self.expire_local_targets(effects);
         match self.settings.mode {
             DistributionMode::Direct => self.tick_direct(effects),
             DistributionMode::Relay => self.tick_zone(effects),
         }
         self.apply_staged(effects);
-        if self.directory.has_rows() {
+        if self.directory.has_scanned_rows() {
             self.publish_targets(effects);
         }
     }
 
-    /// Every daemon for itself: polls the platform and keeps its own rows.
+    /// Handles a tick in direct mode: polls the platform and refreshes this
+    /// daemon's own rows there.
     fn tick_direct(&mut self, effects: &mut Vec<ControlEffect>) {
         if self.read_current_if_due(self.settings.poll_interval, effects) {
             self.read_targets(effects);
@@ -336,15 +351,16 @@
     }
 
     fn read_targets(&mut self, effects: &mut Vec<ControlEffect>) {
-        if !self.reading_targets {
-            self.reading_targets = true;
+        if !self.target_scan_pending {
+            self.target_scan_pending = true;
             effects.push(ControlEffect::ReadTargets);
         }
     }
 
-    /// Whether this daemon keeps its own rows in the platform: always in
-    /// direct mode, and while it has no relay otherwise.
-    fn uses_rows(&self) -> bool {
+    /// Whether this daemon publishes its targets and status as platform rows:
+    /// always in direct mode; in relay mode only after it fell back for lack of a
+    /// relay.
+    fn publishes_own_rows(&self) -> bool {
         match self.settings.mode {
             DistributionMode::Direct => true,
             DistributionMode::Relay => self.zone.role == ZoneRole::Seeking && self.zone.fell_back,
@@ -358,7 +374,7 @@
                 self.settle_floor(effects);
             }
             PlatformStep::FetchVersion => self.versions.fetch_failed(),
-            PlatformStep::ReadTargets => self.reading_targets = false,
+            PlatformStep::ReadTargets => self.target_scan_pending = false,
             PlatformStep::Lease => self.zone.lease_call_failed(),
             PlatformStep::Write => {}
         }
@@ -385,7 +401,8 @@
         }
     }
 
-    /// Reports what is in force: to the relay, in the digest, or in a row.
+    /// Reports the applied and the rejected version: to the relay, in the zone's
+    /// digest and, where this daemon publishes its own rows, in its status row.
     fn report(&mut self, effects: &mut Vec<ControlEffect>) {
         self.peers.digest_dirty = true;
         let report = PeerMessage::Report {
@@ -393,8 +410,8 @@
             rejected: self.versions.rejected.clone(),
         };
         self.send_to_relay(report, effects);
-        if self.uses_rows() {
-            self.reported_at = Some(self.at.now);
+        if self.publishes_own_rows() {
+            self.status_written_at = Some(self.at.now);
             effects.push(ControlEffect::WriteStatus {
                 status: DaemonStatus {
                     id: self.settings.id.clone(),
@@ -408,15 +425,16 @@
     }
 
     fn refresh_status(&mut self, effects: &mut Vec<ControlEffect>) {
-        let due = self
-            .reported_at
-            .is_none_or(|at| self.at.now.saturating_duration_since(at) >= self.settings.refresh);
+        let due = self.status_written_at.is_none_or(|at| {
+            self.at.now.saturating_duration_since(at) >= self.settings.row_refresh_interval
+        });
         if due {
             self.report(effects);
         }
     }
 }
 
+/// Converts to whole milliseconds; a value beyond `u64::MAX` saturates.
 fn duration_ms(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/daemon/src/control/settings.rs
+++ b/crates/daemon/src/control/settings.rs
@@ -1,42 +1,47 @@
-//! Fixed inputs of the reducer.
+//! The configuration of the control reducer.
 
 use std::time::Duration;
 
 use crate::settings::{DaemonSettings, DistributionMode};
 
-/// Fixed inputs of the reducer, from the daemon's settings.
+/// The configuration of [`ControlState`](super::ControlState), which stays the
+/// same for the life of the process.
 #[derive(Clone, Debug)]
 pub struct ControlSettings {
     /// The daemon's id.
     pub id: String,
-    /// Its zone.
+    /// The availability zone the daemon belongs to.
     pub zone: String,
-    /// Where its own relay port is, `host:port`.
+    /// The `host:port` at which peers reach this daemon's relay listener.
     pub address: String,
-    /// This process's start, unique among the daemon's restarts; also seeds
-    /// the jitter.
+    /// Identifies this run of the daemon, unique across its restarts. Also the
+    /// seed of the random generator for jitter.
     pub incarnation: u64,
-    /// How versions and targets reach this daemon.
+    /// Whether versions and targets come from the platform directly or through
+    /// the zone's relay.
     pub mode: DistributionMode,
-    /// How often the version in force is read, by a relay or in direct mode.
+    /// Interval at which the `current` row is read by a relay, or by every
+    /// daemon in direct mode.
     pub poll_interval: Duration,
-    /// A target not heard from for this long is dropped.
+    /// Time without an announcement after which a target is removed.
     pub target_expiry: Duration,
-    /// How often rows written in direct mode are refreshed.
-    pub refresh: Duration,
-    /// How long a lease lasts without renewal.
-    pub lease_time: Duration,
-    /// Platform reads per second all daemons of a zone may make together
-    /// while they have no relay.
+    /// Interval at which a daemon that publishes its own rows rewrites them.
+    pub row_refresh_interval: Duration,
+    /// How long a lease is valid after its last renewal.
+    pub lease_duration: Duration,
+    /// Limit on the platform reads per second of all daemons of the zone
+    /// together, while no relay reads the platform for them.
     pub zone_reads_per_second: u32,
-    /// Daemons assumed in the zone until a relay says how many there are.
+    /// Number of daemons assumed in the zone until a relay reports it.
     pub zone_size_hint: u32,
-    /// How long a version may wait for its services' targets.
+    /// Longest time a staged version waits for targets of its services before
+    /// it is applied without them.
     pub staging_timeout: Duration,
 }
 
 impl ControlSettings {
-    /// Default settings for daemon `id` of `zone`, reachable at `address`.
+    /// Returns the default settings for daemon `id` in `zone`, whose relay
+    /// listener is reachable at `address`.
     #[must_use]
     pub fn new(id: &str, zone: &str, address: &str) -> ControlSettings {
         ControlSettings {
@@ -47,15 +52,16 @@
             mode: DistributionMode::Relay,
             poll_interval: Duration::from_millis(200),
             target_expiry: Duration::from_secs(3),
-            refresh: Duration::from_secs(1),
-            lease_time: Duration::from_secs(3),
+            row_refresh_interval: Duration::from_secs(1),
+            lease_duration: Duration::from_secs(3),
             zone_reads_per_second: 50,
             zone_size_hint: 32,
             staging_timeout: Duration::from_secs(2),
         }
     }
 
-    /// The reducer's inputs for a daemon started with `settings`.
+    /// Derives the reducer's settings from the daemon's `settings`; those that
+    /// the daemon's settings lack keep their defaults.
     #[must_use]
     pub fn from_daemon_settings(settings: &DaemonSettings, incarnation: u64) -> ControlSettings {
         let address = settings.relay_advertise.unwrap_or(settings.relay_listen);
@@ -64,7 +70,7 @@
             mode: settings.distribution,
             poll_interval: settings.timeouts.poll(),
             target_expiry: settings.timeouts.target_expiry(),
-            lease_time: settings.relay.lease(),
+            lease_duration: settings.relay.lease(),
             zone_reads_per_second: settings.relay.zone_reads_per_second,
             zone_size_hint: settings.relay.zone_size_hint,
             staging_timeout: settings.timeouts.stage(),
@@ -72,14 +78,12 @@
         }
     }
 
-    /// Sets the distribution mode.
     #[must_use]
     pub fn mode(mut self, mode: DistributionMode) -> ControlSettings {
         self.mode = mode;
         self
     }
 
-    /// Sets the incarnation.
     #[must_use]
     pub fn incarnation(mut self, incarnation: u64) -> ControlSettings {
         self.incarnation = incarnation;
