--- a/crates/daemon/tests/control_cases.rs
+++ b/crates/daemon/tests/control_cases.rs
@@ -1,5 +1,6 @@
-//! The daemon's reducer under crossing updates, bad versions, platform
-//! outages and target churn, driven event by event with no I/O.
+//! Tests of the control reducer, without I/O: versions that arrive out of order
+//! or are invalid, platform outages, changing targets, and joining or becoming
+//! the zone's relay.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,14 +19,14 @@
 
 const COOP: &str = include_str!("../../../examples/coop.toml");
 
-/// A reducer with a clock the test moves.
+/// A reducer whose clock the test sets.
 struct TestDaemon {
     control: ControlState,
     start: ClockReading,
 }
 
 impl TestDaemon {
-    /// One in direct mode.
+    /// Starts a daemon in direct mode.
     fn new() -> TestDaemon {
         TestDaemon::in_mode(DistributionMode::Direct)
     }
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Steps at `ms` milliseconds after the start.
+    /// Handles `event` at `ms` milliseconds after the start.
     fn step_at(&mut self, ms: u64, event: ControlEvent) -> Vec<ControlEffect> {
         let since = Duration::from_millis(ms);
         let at = ClockReading {
@@ -86,7 +87,8 @@
         .collect()
 }
 
-/// Versions arriving in some order, and what must end in force.
+/// Versions in the order of their arrival (number, valid), the version that must
+/// be in force afterwards, and those that must have been applied on the way.
 struct ArrivalCase {
     arrivals: &'static [(u64, bool)],
     in_force: u64,
@@ -95,14 +97,14 @@
 
 #[rstest]
 #[case::in_order(ArrivalCase { arrivals: &[(1, true), (2, true)], in_force: 2, applied: &[1, 2] })]
-#[case::crossed_in_flight(ArrivalCase { arrivals: &[(3, true), (2, true)], in_force: 3, applied: &[3] })]
+#[case::out_of_order(ArrivalCase { arrivals: &[(3, true), (2, true)], in_force: 3, applied: &[3] })]
 #[case::repeated(ArrivalCase { arrivals: &[(2, true), (2, true)], in_force: 2, applied: &[2] })]
-#[case::bad_after_good(ArrivalCase { arrivals: &[(1, true), (2, false)], in_force: 1, applied: &[1] })]
-#[case::good_after_bad(ArrivalCase { arrivals: &[(1, false), (2, true)], in_force: 2, applied: &[2] })]
-fn versions_apply_whole_and_never_backwards(#[case] case: ArrivalCase) {
-    // Updates cross in flight: a fetch started earlier can land after a newer
-    // version is already in force, and a version can be invalid. The daemon
-    // must never go back to the older one and never apply a bad one in part.
+#[case::invalid_after_valid(ArrivalCase { arrivals: &[(1, true), (2, false)], in_force: 1, applied: &[1] })]
+#[case::valid_after_invalid(ArrivalCase { arrivals: &[(1, false), (2, true)], in_force: 2, applied: &[2] })]
+fn applies_only_valid_versions_in_ascending_order(#[case] case: ArrivalCase) {
+    // Guards against going back to an older version and against applying part
+    // of an invalid one. A fetch that started earlier can complete after a newer
+    // version is in force, and a fetched version can be invalid.
     let mut daemon = TestDaemon::new();
     let mut effects = Vec::new();
     for (number, valid) in case.arrivals {
@@ -113,9 +115,9 @@
 }
 
 #[test]
-fn rejected_version_is_reported_and_not_fetched_again() {
-    // A bad version reaches a daemon anyway. It must be refused whole with its
-    // reason in the status, and the daemon must not fetch it over and over.
+fn rejected_version_is_in_status_and_not_fetched_again() {
+    // Guards against fetching a rejected version again at every poll. An invalid
+    // version must be rejected as a whole, logged, and named in the status.
     let mut daemon = TestDaemon::new();
     daemon.step(fetched(1, true));
     let effects = daemon.step(fetched(2, false));
@@ -140,10 +142,10 @@
 }
 
 #[test]
-fn platform_outage_keeps_the_last_version_and_says_so() {
-    // The platform goes down after version 1 is applied. The daemon keeps
-    // serving version 1, shows the platform unreachable in its status with
-    // one log line, and says when it is back.
+fn platform_outage_keeps_last_version_and_is_logged_once() {
+    // The platform becomes unreachable after version 1 was applied. Version 1
+    // must stay in force and the status must show the platform as unreachable. The
+    // loss must be logged once, however many calls fail, and the recovery too.
     let mut daemon = TestDaemon::new();
     daemon.step(fetched(1, true));
     let first = daemon.step(ControlEvent::PlatformFailed {
@@ -161,19 +163,19 @@
     assert!(second.is_empty());
     assert_eq!(daemon.control.applied(), 1);
     assert!(!daemon.control.view().platform_reachable);
-    let back = daemon.step(ControlEvent::CurrentRead {
+    let recovery = daemon.step(ControlEvent::CurrentRead {
         number: 1,
         object: "versions/1".to_owned(),
         delta: None,
     });
-    assert!(back.contains(&ControlEffect::RecordStateChange {
+    assert!(recovery.contains(&ControlEffect::RecordStateChange {
         change: StateChange::PlatformBack
     }));
 }
 
-/// Version 2 of a staging case: quotes move to a service that version 1 does
-/// not use.
-fn moved_quotes() -> ControlEvent {
+/// Version 2 of a [`StageCase`]: its `quotes` route moves to a service that
+/// version 1 does not use.
+fn version_with_new_service() -> ControlEvent {
     let mut tree = SettingsTree::from_toml(COOP).expect("example parses");
     let route = BranchPath::parse("site/north-signs/quoting/quotes").expect("branch");
     let service = BranchPath::parse("site/north-signs/pricing").expect("branch");
@@ -191,23 +193,25 @@
     }
 }
 
-/// When the new service's first target is heard of, if ever, and when the
-/// version that needs it must be in force, in milliseconds.
+/// Times of a staged version in milliseconds. The version arrives at 1000 ms.
 struct StageCase {
-    target_joins: Option<u64>,
-    still_waits: Option<u64>,
+    /// When the new service's first target announces itself, if ever.
+    target_joins_at: Option<u64>,
+    /// When the version must still be staged.
+    still_staged_at: Option<u64>,
+    /// When the version must be in force at the latest.
     in_force_by: u64,
 }
 
 #[rstest]
-#[case::target_known_before(StageCase { target_joins: Some(0), still_waits: None, in_force_by: 1_000 })]
-#[case::target_joins_meanwhile(StageCase { target_joins: Some(1_500), still_waits: Some(1_400), in_force_by: 1_500 })]
-#[case::no_target_ever(StageCase { target_joins: None, still_waits: Some(2_900), in_force_by: 3_100 })]
-fn version_waits_a_while_for_targets_of_a_new_service(#[case] case: StageCase) {
-    // A change moves quotes to a service whose targets this proxy may not
-    // know yet. Until it knows one the old routes must go on serving, rather
-    // than point at nothing; but an accepted version comes into force within
-    // seconds all the same.
+#[case::target_known_before(StageCase { target_joins_at: Some(0), still_staged_at: None, in_force_by: 1_000 })]
+#[case::target_joins_while_staged(StageCase { target_joins_at: Some(1_500), still_staged_at: Some(1_400), in_force_by: 1_500 })]
+#[case::target_never_joins(StageCase { target_joins_at: None, still_staged_at: Some(2_900), in_force_by: 3_100 })]
+fn version_is_staged_until_new_service_has_target_or_timeout(#[case] case: StageCase) {
+    // Guards against routes to a service with no known target, after a version
+    // moves the quotes route to that service. The old routes must stay in force
+    // until a target is known, but no longer than the staging timeout of 2
+    // seconds.
     let mut daemon = TestDaemon::new();
     daemon.step(fetched(1, true));
     let announced = |at: u64, now: u64| {
@@ -220,17 +224,17 @@
             },
         })
     };
-    let mut sent = false;
+    let mut version_sent = false;
     for now in (0..4_000).step_by(100) {
-        if let Some(event) = case.target_joins.and_then(|at| announced(at, now)) {
+        if let Some(event) = case.target_joins_at.and_then(|at| announced(at, now)) {
             daemon.step_at(now, event);
         }
-        if now >= 1_000 && !sent {
-            sent = true;
-            daemon.step_at(now, moved_quotes());
+        if now >= 1_000 && !version_sent {
+            version_sent = true;
+            daemon.step_at(now, version_with_new_service());
         }
         daemon.step_at(now, ControlEvent::Tick);
-        if case.still_waits == Some(now) {
+        if case.still_staged_at == Some(now) {
             assert_eq!(daemon.control.applied(), 1, "at {now} ms");
             assert_eq!(daemon.control.view().staged, Some(2), "at {now} ms");
         }
@@ -252,10 +256,10 @@
 }
 
 #[test]
-fn leaving_target_leaves_rotation_at_once_and_is_published() {
-    // A target announces that it is leaving. From that event on the proxy's
-    // view must show it not serving, and its row must be rewritten at once so
-    // the zone's other daemons stop sending it work too.
+fn leaving_target_stops_serving_and_its_row_is_written_at_once() {
+    // Guards against calls that are still sent to a target after it announced
+    // that it is leaving. The event must remove the target from the proxy's
+    // serving targets, and rewrite its row for the zone's other daemons.
     let mut daemon = TestDaemon::new();
     daemon.step_at(1_000, announce(false));
     assert_eq!(daemon.control.view().targets.get("quoting"), Some(&1));
@@ -268,9 +272,9 @@
 }
 
 #[test]
-fn silent_target_expires() {
-    // A target's host dies without a word. Once it has not been heard from
-    // for the expiry, it must leave the proxy's view.
+fn target_without_announcements_expires() {
+    // Guards against a target that stays in the proxy's view after it crashed
+    // and could not announce that it is leaving.
     let mut daemon = TestDaemon::new();
     daemon.step_at(1_000, announce(false));
     daemon.step_at(3_900, ControlEvent::Tick);
@@ -279,26 +283,26 @@
     assert_eq!(daemon.control.view().targets.get("quoting"), None);
 }
 
-/// How a daemon that fell back to rows gets a relay again.
+/// How a daemon that scans target rows for lack of a relay gets one again.
 #[derive(Clone, Copy, Debug)]
-enum RelayAgain {
-    /// It links to one, which knows no targets.
+enum RelayFound {
+    /// It links to a relay that knows no targets.
     Joins,
-    /// It takes the lease itself.
-    Leads,
-    /// It links to one before the rows it asked for arrive.
-    JoinsBeforeTheRead,
+    /// It acquires the lease and becomes the relay.
+    BecomesLeader,
+    /// It links to a relay before the result of its scan arrives.
+    JoinsBeforeScanArrives,
 }
 
 #[rstest]
-#[case::joins(RelayAgain::Joins)]
-#[case::leads(RelayAgain::Leads)]
-#[case::joins_before_the_read(RelayAgain::JoinsBeforeTheRead)]
-fn target_read_from_rows_does_not_outlive_its_host(#[case] again: RelayAgain) {
-    // A daemon without a relay reads another host's target from its row. It
-    // then has a relay again, or becomes it, and the other host has died
-    // meanwhile. The target must leave its view within the expiry, rather
-    // than get calls for good.
+#[case::joins(RelayFound::Joins)]
+#[case::becomes_leader(RelayFound::BecomesLeader)]
+#[case::joins_before_scan_arrives(RelayFound::JoinsBeforeScanArrives)]
+fn scanned_target_expires_after_relay_is_found(#[case] relay_found: RelayFound) {
+    // Guards against a dead target that is never removed. A daemon without a
+    // relay scans another host's target row, the other host crashes, and the
+    // daemon joins or becomes the relay. It scans no more from then on, but the
+    // target must still be removed.
     let mut daemon = TestDaemon::in_mode(DistributionMode::Relay);
     daemon.step(ControlEvent::Tick);
     let other = TargetRecord {
@@ -313,17 +317,17 @@
     let read = ControlEvent::TargetsRead {
         records: vec![other],
     };
-    if let RelayAgain::JoinsBeforeTheRead = again {
-        join_a_relay(&mut daemon, 4_000);
+    if let RelayFound::JoinsBeforeScanArrives = relay_found {
+        join_relay(&mut daemon, 4_000);
         daemon.step_at(4_100, read);
     } else {
         daemon.step_at(4_000, read);
         assert_eq!(daemon.control.view().targets.get("quoting"), Some(&1));
     }
-    match again {
-        RelayAgain::Joins => join_a_relay(&mut daemon, 4_100),
-        RelayAgain::Leads => take_the_lease(&mut daemon, 4_100),
-        RelayAgain::JoinsBeforeTheRead => {}
+    match relay_found {
+        RelayFound::Joins => join_relay(&mut daemon, 4_100),
+        RelayFound::BecomesLeader => acquire_lease(&mut daemon, 4_100),
+        RelayFound::JoinsBeforeScanArrives => {}
     }
     for now in (4_200..9_000).step_by(100) {
         daemon.step_at(now, ControlEvent::Tick);
@@ -332,29 +336,31 @@
 }
 
 #[test]
-fn new_relay_reads_versions_at_its_poll_interval_at_once() {
-    // A daemon has just taken its zone's lease, and an operator accepts a
-    // change a moment later. The zone must not wait out the head start that
-    // the daemon gave a relay while it had none.
+fn new_leader_polls_versions_at_poll_interval_at_once() {
+    // Guards against a zone that gets a new version late because its new leader
+    // still waits out the delay of platform reads that applies while a daemon
+    // has no relay. The leader must poll at its normal interval from the moment
+    // it acquires the lease.
     let mut daemon = TestDaemon::in_mode(DistributionMode::Relay);
     daemon.step(ControlEvent::Tick);
-    take_the_lease(&mut daemon, 100);
+    acquire_lease(&mut daemon, 100);
     let read = ControlEvent::CurrentRead {
         number: 0,
         object: String::new(),
         delta: None,
     };
     daemon.step_at(110, read);
-    let reads = |effects: &[ControlEffect]| effects.contains(&ControlEffect::ReadCurrent);
-    assert!(!reads(&daemon.step_at(250, ControlEvent::Tick)));
-    assert!(reads(&daemon.step_at(310, ControlEvent::Tick)));
+    let reads_current = |effects: &[ControlEffect]| effects.contains(&ControlEffect::ReadCurrent);
+    assert!(!reads_current(&daemon.step_at(250, ControlEvent::Tick)));
+    assert!(reads_current(&daemon.step_at(310, ControlEvent::Tick)));
 }
 
-/// A target announces itself between its daemon's hello to the zone's relay and
-/// the relay's answer. The relay must be told all the same, or no other daemon
-/// of the zone ever sends it a call.
 #[test]
-fn a_target_that_comes_between_hello_and_welcome_is_told_to_the_relay() {
+fn target_announced_between_hello_and_welcome_is_sent_to_relay() {
+    // Guards against a target that gets no calls from any other daemon of the
+    // zone. The hello does not list a target that announces itself after it was
+    // sent, so the daemon must send the target to the relay without waiting for
+    // the relay's welcome.
     let mut daemon = TestDaemon::in_mode(DistributionMode::Relay);
     let row = LeaseRow {
         version: 1,
@@ -368,7 +374,7 @@
         leaving: false,
     };
     let effects = daemon.step_at(105, ControlEvent::TargetAnnounced { announcement });
-    let is_told = effects.iter().any(|effect| match effect {
+    let is_sent = effects.iter().any(|effect| match effect {
         ControlEffect::SendToRelay {
             message: PeerMessage::Targets(change),
             ..
@@ -378,7 +384,7 @@
             .any(|target| target.address == "127.0.0.1:9009"),
         _ => false,
     });
-    assert!(is_told, "{effects:?}");
+    assert!(is_sent, "{effects:?}");
 }
 
 fn lease_record(holder: &str, address: &str) -> LeaseRecord {
@@ -391,7 +397,7 @@
     }
 }
 
-fn join_a_relay(daemon: &mut TestDaemon, now: u64) {
+fn join_relay(daemon: &mut TestDaemon, now: u64) {
     let row = LeaseRow {
         version: 1,
         record: lease_record("a2", "127.0.0.1:2"),
@@ -401,7 +407,7 @@
         ControlEffect::Connect { link, .. } => Some(*link),
         _ => None,
     });
-    let link = link.expect("the daemon links to the holder");
+    let link = link.expect("the daemon links to the lease holder");
     let welcome = RelayMessage::Welcome(RelayWelcome {
         token: 1,
         floor: 0,
@@ -417,7 +423,7 @@
     }
 }
 
-fn take_the_lease(daemon: &mut TestDaemon, now: u64) {
+fn acquire_lease(daemon: &mut TestDaemon, now: u64) {
     let effects = daemon.step_at(now, ControlEvent::LeaseRead { row: None });
     let record = effects.into_iter().find_map(|effect| match effect {
         ControlEffect::WriteLease { record, .. } => Some(record),
@@ -425,19 +431,19 @@
     });
     let row = LeaseRow {
         version: 1,
-        record: record.expect("the daemon takes the free lease"),
+        record: record.expect("the daemon acquires the free lease"),
     };
     daemon.step_at(now, ControlEvent::LeaseWritten { row });
     assert_eq!(daemon.control.role(), ZoneRole::Leader);
 }
 
 proptest! {
-    /// History check over generated schedules: any order of arrivals of
-    /// valid and invalid versions, interleaved with outages. The sequence of
-    /// applied versions must rise strictly, contain only valid versions, and
-    /// end at the highest valid version that arrived.
+    /// Valid and invalid versions arrive in any order, with platform outages in
+    /// between. The numbers of the applied versions must strictly increase,
+    /// belong to valid versions only, and end with the highest valid version
+    /// that arrived.
     #[test]
-    fn applied_history_is_strictly_rising_and_valid(
+    fn applied_versions_strictly_increase_and_are_valid(
         schedule in proptest::collection::vec((1u64..12, any::<bool>(), any::<bool>()), 1..40)
     ) {
         let mut daemon = TestDaemon::new();
@@ -452,7 +458,7 @@
         for number in &history {
             prop_assert!(schedule.iter().any(|(arrived, valid, _)| arrived == number && *valid));
         }
-        let best = schedule.iter().filter(|(_, valid, _)| *valid).map(|(number, _, _)| *number).max();
-        prop_assert_eq!(daemon.control.applied(), best.unwrap_or(0));
+        let highest_valid = schedule.iter().filter(|(_, valid, _)| *valid).map(|(number, _, _)| *number).max();
+        prop_assert_eq!(daemon.control.applied(), highest_valid.unwrap_or(0));
     }
 }
