--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -26,7 +26,7 @@
 
 #[post("/announce", data = "<announcement>")]
 async fn announce(shared: &State<AdminShared>, announcement: Json<TargetAnnouncement>) -> Status {
-    let event = ControlEvent::Announced {
+    let event = ControlEvent::TargetAnnounced {
         announcement: announcement.into_inner(),
     };
     match shared.events.send(event).await {
--- a/crates/daemon/src/control/directory.rs
+++ b/crates/daemon/src/control/directory.rs
@@ -29,7 +29,7 @@
     direct: Vec<TargetRecord>,
     direct_read_at_ms: u64,
     /// What the proxy was last shown.
-    pub(super) shown: Arc<ZoneTargets>,
+    pub(super) published: Arc<ZoneTargets>,
 }
 
 impl TargetDirectory {
@@ -54,7 +54,7 @@
     }
 
     /// Addresses of the zone's targets on `daemon`'s host.
-    pub(super) fn addresses_of(&self, daemon: &str) -> Vec<String> {
+    pub(super) fn target_addresses_of(&self, daemon: &str) -> Vec<String> {
         self.zone
             .values()
             .filter(|record| record.daemon == daemon)
@@ -68,7 +68,7 @@
     /// Guards against a target that is gone staying in view for good (seen as
     /// calls that go to it and fail): rows are judged as of their last scan,
     /// and a daemon that has a relay again, or is one, scans them no more.
-    pub(super) fn adopt_rows(&mut self, own: &str) {
+    pub(super) fn merge_scanned_rows(&mut self, own: &str) {
         for record in std::mem::take(&mut self.direct) {
             let known = self.zone.contains_key(&record.address);
             if record.daemon != own && !known {
@@ -79,7 +79,7 @@
 
     /// Takes a change of other hosts' targets into the zone map. `own` is this
     /// daemon's id, whose targets it knows better itself.
-    pub(super) fn absorb(&mut self, change: &TargetChange, own: &str) {
+    pub(super) fn apply_change(&mut self, change: &TargetChange, own: &str) {
         if change.reset {
             self.zone.clear();
             self.direct.clear();
@@ -138,7 +138,7 @@
             },
         );
         self.spread(change, effects);
-        self.show_targets(effects);
+        self.publish_targets(effects);
     }
 
     /// Tells the zone about a change of this host's targets: through the
@@ -146,7 +146,7 @@
     /// for the next batch.
     fn spread(&mut self, change: TargetChange, effects: &mut Vec<ControlEffect>) {
         if change.upserts.is_empty() && change.removed.is_empty() {
-            self.load_moves.extend(change.loads);
+            self.pending_loads.extend(change.loads);
             return;
         }
         self.send_behind_hello(PeerMessage::Targets(change.clone()), effects);
@@ -154,12 +154,14 @@
     }
 
     /// Sends the loads that moved since the last batch.
-    pub(super) fn spread_loads(&mut self, effects: &mut Vec<ControlEffect>) {
-        if self.load_moves.is_empty() {
+    pub(super) fn broadcast_loads(&mut self, effects: &mut Vec<ControlEffect>) {
+        if self.pending_loads.is_empty() {
             return;
         }
         let change = TargetChange {
-            loads: std::mem::take(&mut self.load_moves).into_iter().collect(),
+            loads: std::mem::take(&mut self.pending_loads)
+                .into_iter()
+                .collect(),
             ..TargetChange::default()
         };
         self.send_behind_hello(PeerMessage::Targets(change.clone()), effects);
@@ -188,7 +190,7 @@
             ..TargetChange::default()
         };
         self.spread(change, effects);
-        self.show_targets(effects);
+        self.publish_targets(effects);
     }
 
     pub(super) fn on_targets_read(
@@ -197,7 +199,7 @@
         effects: &mut Vec<ControlEffect>,
     ) {
         self.reading_targets = false;
-        self.platform_answered(effects);
+        self.on_platform_answered(effects);
         // A scan that arrives once there is a relay is not repeated, so what
         // it shows would never age.
         let scans =
@@ -207,11 +209,11 @@
         }
         self.directory.direct = records;
         self.directory.direct_read_at_ms = self.at.wall_ms();
-        self.show_targets(effects);
+        self.publish_targets(effects);
     }
 
     /// Rewrites this host's target rows that are due, in direct mode.
-    pub(super) fn refresh_rows(&mut self, effects: &mut Vec<ControlEffect>) {
+    pub(super) fn refresh_target_rows(&mut self, effects: &mut Vec<ControlEffect>) {
         let now = self.at.now;
         let wall_ms = self.at.wall_ms();
         for local in self.directory.local.values_mut() {
@@ -243,7 +245,7 @@
     /// this host). Their age is judged as of the last scan instead; a target
     /// that died meanwhile refuses connections, which the proxy retries
     /// elsewhere.
-    pub(super) fn show_targets(&mut self, effects: &mut Vec<ControlEffect>) {
+    pub(super) fn publish_targets(&mut self, effects: &mut Vec<ControlEffect>) {
         let directory = &self.directory;
         let expiry_ms = duration_ms(self.settings.target_expiry);
         let now = self.at.now;
@@ -270,10 +272,10 @@
                     <= expiry_ms
             });
         let view = ZoneTargets::from_records(local.chain(zone).chain(direct));
-        if *directory.shown != view {
-            self.directory.shown = Arc::new(view);
-            effects.push(ControlEffect::ShowTargets {
-                targets: Arc::clone(&self.directory.shown),
+        if *directory.published != view {
+            self.directory.published = Arc::new(view);
+            effects.push(ControlEffect::PublishTargets {
+                targets: Arc::clone(&self.directory.published),
             });
             self.apply_staged(effects);
         }
@@ -305,5 +307,5 @@
         Some(old) if new.leaving && !old.leaving => StateChange::TargetLeaving { service, address },
         Some(_) => return,
     };
-    effects.push(ControlEffect::Note { change });
+    effects.push(ControlEffect::RecordStateChange { change });
 }
--- a/crates/daemon/src/control/lease.rs
+++ b/crates/daemon/src/control/lease.rs
@@ -6,7 +6,7 @@
 use filbert_store::{LeaseRecord, WriteCondition};
 use rand::Rng;
 
-use super::pace::spread_window;
+use super::pace::read_spread_window;
 use super::{ControlEffect, ControlState, LeaseRow, StateChange, ZoneRole};
 use crate::messages::PeerMessage;
 
@@ -41,11 +41,11 @@
 }
 
 impl ControlState {
-    pub(super) fn read_lease_paced(&mut self, effects: &mut Vec<ControlEffect>) {
+    pub(super) fn read_lease_if_due(&mut self, effects: &mut Vec<ControlEffect>) {
         if self.at.now < self.zone.next_lease_read || self.zone.lease_call != LeaseCall::Idle {
             return;
         }
-        let window = spread_window(&self.settings, self.zone.shape.size);
+        let window = read_spread_window(&self.settings, self.zone.shape.size);
         let pause = (self.settings.lease_time / RENEWALS_PER_LEASE).max(window);
         let jitter = pause.mul_f64(self.rng.random::<f64>() * 0.5);
         self.zone.next_lease_read = self.at.now + pause + jitter;
@@ -73,7 +73,7 @@
         };
         self.zone.role = ZoneRole::Acting;
         self.zone.next_lease_read = self.at.now;
-        effects.push(ControlEffect::Note {
+        effects.push(ControlEffect::RecordStateChange {
             change: StateChange::LeaseLost {
                 token: held.record.token,
             },
@@ -81,7 +81,7 @@
         self.tell_platform_state(effects);
     }
 
-    pub(super) fn renew_lease(&mut self, effects: &mut Vec<ControlEffect>) {
+    pub(super) fn renew_lease_if_due(&mut self, effects: &mut Vec<ControlEffect>) {
         let Some(held) = &self.zone.held else {
             return;
         };
@@ -132,7 +132,7 @@
         effects: &mut Vec<ControlEffect>,
     ) {
         self.zone.lease_call = LeaseCall::Idle;
-        self.platform_answered(effects);
+        self.on_platform_answered(effects);
         if self.zone.role == ZoneRole::Leader {
             return;
         }
@@ -145,7 +145,7 @@
         effects: &mut Vec<ControlEffect>,
     ) {
         self.zone.lease_call = LeaseCall::Idle;
-        self.platform_answered(effects);
+        self.on_platform_answered(effects);
         // Guards against giving up a lease that is still ours: a renewal whose
         // reply was lost moved the row on, so the next one is refused though
         // nobody else took it.
@@ -163,7 +163,7 @@
             return;
         };
         self.zone.lease_call = LeaseCall::Idle;
-        self.platform_answered(effects);
+        self.on_platform_answered(effects);
         if row.record.address.is_empty() {
             return;
         }
@@ -185,7 +185,7 @@
             let message = PeerMessage::Moved {
                 relay: self.settings.address.clone(),
             };
-            effects.push(ControlEffect::SendUp {
+            effects.push(ControlEffect::SendToRelay {
                 link: link.id,
                 message,
             });
@@ -197,12 +197,12 @@
         self.zone.role = ZoneRole::Leader;
         self.zone.fell_back = false;
         self.peers.digest_dirty = true;
-        effects.push(ControlEffect::Note {
+        effects.push(ControlEffect::RecordStateChange {
             change: StateChange::LeaseTaken { token },
         });
         self.tell_platform_state(effects);
         self.zone.next_current_read = self.at.now;
-        self.read_current_paced(self.settings.poll, effects);
+        self.read_current_if_due(self.settings.poll_interval, effects);
         self.check_lease(effects);
     }
 
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -91,25 +91,25 @@
     /// The zone's target rows.
     TargetsRead { records: Vec<TargetRecord> },
     /// A target on this host announced itself.
-    Announced { announcement: TargetAnnouncement },
+    TargetAnnounced { announcement: TargetAnnouncement },
     /// A platform call failed.
     PlatformFailed { step: PlatformStep },
     /// The zone's lease row, or `None` when there is none.
     LeaseRead { row: Option<LeaseRow> },
     /// The zone's digest was not written, or its outcome is unknown.
-    DigestUnwritten,
+    DigestWriteFailed,
     /// A lease write took effect; the row as stored.
     LeaseWritten { row: LeaseRow },
     /// A lease write was refused; the row as it is now.
-    LeaseRefused { row: Option<LeaseRow> },
+    LeaseWriteRefused { row: Option<LeaseRow> },
     /// The relay at the end of link `link` sent a message.
-    RelaySaid { link: u64, message: RelayMessage },
+    RelayMessageReceived { link: u64, message: RelayMessage },
     /// Link `link` failed, was closed, or went silent.
     LinkDown { link: u64 },
     /// A peer sent a message.
-    PeerSaid { peer: u64, message: PeerMessage },
+    PeerMessageReceived { peer: u64, message: PeerMessage },
     /// A peer's link closed.
-    PeerGone { peer: u64 },
+    PeerDisconnected { peer: u64 },
     /// A planned stop began.
     Stopping,
 }
@@ -128,11 +128,11 @@
     /// Put this compiled version in force for the proxy.
     Apply { number: u64, table: Arc<RouteTable> },
     /// Give the proxy this view of the zone's targets.
-    ShowTargets { targets: Arc<ZoneTargets> },
+    PublishTargets { targets: Arc<ZoneTargets> },
     /// Write a target's row.
     WriteTarget { record: TargetRecord },
     /// Write this daemon's status row.
-    Report { status: DaemonStatus },
+    WriteStatus { status: DaemonStatus },
     /// Write the zone's digest row.
     WriteDigest { digest: ZoneDigest },
     /// Read the zone's lease row.
@@ -147,16 +147,16 @@
     /// Close link `link`.
     Disconnect { link: u64 },
     /// Send to the relay on link `link`.
-    SendUp { link: u64, message: PeerMessage },
+    SendToRelay { link: u64, message: PeerMessage },
     /// Send to these peers.
-    SendPeers {
+    SendToPeers {
         peers: Vec<u64>,
         message: Arc<RelayMessage>,
     },
     /// Close a peer's link once what was sent to it has left.
-    DropPeer { peer: u64 },
+    ClosePeer { peer: u64 },
     /// Record a change of state: a log line and, where one applies, a counter.
-    Note { change: StateChange },
+    RecordStateChange { change: StateChange },
 }
 
 /// The status shown on the admin endpoint.
@@ -192,8 +192,8 @@
     directory: TargetDirectory,
     zone: ZoneState,
     peers: PeerTable,
-    load_moves: BTreeMap<String, u32>,
-    reading_current: bool,
+    pending_loads: BTreeMap<String, u32>,
+    current_read_pending: bool,
     reading_targets: bool,
     platform_reachable: bool,
     platform_failures: u32,
@@ -213,8 +213,8 @@
             directory: TargetDirectory::default(),
             zone,
             peers: PeerTable::default(),
-            load_moves: BTreeMap::new(),
-            reading_current: false,
+            pending_loads: BTreeMap::new(),
+            current_read_pending: false,
             reading_targets: false,
             platform_reachable: true,
             platform_failures: 0,
@@ -255,7 +255,7 @@
             },
             token: self.zone.token,
             peers: self.peers.len(),
-            targets: self.directory.shown.counts(),
+            targets: self.directory.published.counts(),
         }
     }
 
@@ -282,26 +282,26 @@
                 bytes,
             } => self.on_delta_fetched(base, number, &delta, bytes, &mut effects),
             ControlEvent::VersionFetched { record, bytes } => {
-                self.platform_answered(&mut effects);
+                self.on_platform_answered(&mut effects);
                 self.on_version(&record, bytes, &mut effects);
             }
             ControlEvent::TargetsRead { records } => self.on_targets_read(records, &mut effects),
-            ControlEvent::Announced { announcement } => {
+            ControlEvent::TargetAnnounced { announcement } => {
                 self.on_announced(announcement, &mut effects);
             }
             ControlEvent::PlatformFailed { step } => self.on_platform_failed(step, &mut effects),
             ControlEvent::LeaseRead { row } => self.on_lease_read(row, &mut effects),
-            ControlEvent::DigestUnwritten => self.peers.digest_dirty = true,
+            ControlEvent::DigestWriteFailed => self.peers.digest_dirty = true,
             ControlEvent::LeaseWritten { row } => self.on_lease_written(row, &mut effects),
-            ControlEvent::LeaseRefused { row } => self.on_lease_refused(row, &mut effects),
-            ControlEvent::RelaySaid { link, message } => {
-                self.on_relay_said(link, message, &mut effects);
+            ControlEvent::LeaseWriteRefused { row } => self.on_lease_refused(row, &mut effects),
+            ControlEvent::RelayMessageReceived { link, message } => {
+                self.on_relay_message(link, message, &mut effects);
             }
             ControlEvent::LinkDown { link } => self.on_link_down(link, &mut effects),
-            ControlEvent::PeerSaid { peer, message } => {
-                self.on_peer_said(peer, message, &mut effects);
+            ControlEvent::PeerMessageReceived { peer, message } => {
+                self.on_peer_message(peer, message, &mut effects);
             }
-            ControlEvent::PeerGone { peer } => self.on_peer_gone(peer),
+            ControlEvent::PeerDisconnected { peer } => self.on_peer_disconnected(peer),
             ControlEvent::Stopping => self.on_stopping(&mut effects),
         }
         effects
@@ -315,22 +315,22 @@
         }
         self.apply_staged(effects);
         if self.directory.has_rows() {
-            self.show_targets(effects);
+            self.publish_targets(effects);
         }
     }
 
     /// Every daemon for itself: polls the platform and keeps its own rows.
     fn tick_direct(&mut self, effects: &mut Vec<ControlEffect>) {
-        if self.read_current_paced(self.settings.poll, effects) {
+        if self.read_current_if_due(self.settings.poll_interval, effects) {
             self.read_targets(effects);
         }
-        self.refresh_rows(effects);
-        self.refresh_report(effects);
+        self.refresh_target_rows(effects);
+        self.refresh_status(effects);
     }
 
     fn read_current(&mut self, effects: &mut Vec<ControlEffect>) {
-        if !self.reading_current {
-            self.reading_current = true;
+        if !self.current_read_pending {
+            self.current_read_pending = true;
             effects.push(ControlEffect::ReadCurrent);
         }
     }
@@ -354,7 +354,7 @@
     fn on_platform_failed(&mut self, step: PlatformStep, effects: &mut Vec<ControlEffect>) {
         match step {
             PlatformStep::ReadCurrent => {
-                self.reading_current = false;
+                self.current_read_pending = false;
                 self.settle_floor(effects);
             }
             PlatformStep::FetchVersion => self.versions.fetch_failed(),
@@ -365,7 +365,7 @@
         self.platform_failures = self.platform_failures.saturating_add(1);
         if self.platform_reachable {
             self.platform_reachable = false;
-            effects.push(ControlEffect::Note {
+            effects.push(ControlEffect::RecordStateChange {
                 change: StateChange::PlatformLost {
                     serving: self.versions.applied,
                 },
@@ -374,11 +374,11 @@
         }
     }
 
-    fn platform_answered(&mut self, effects: &mut Vec<ControlEffect>) {
+    fn on_platform_answered(&mut self, effects: &mut Vec<ControlEffect>) {
         self.platform_failures = 0;
         if !self.platform_reachable {
             self.platform_reachable = true;
-            effects.push(ControlEffect::Note {
+            effects.push(ControlEffect::RecordStateChange {
                 change: StateChange::PlatformBack,
             });
             self.tell_platform_state(effects);
@@ -392,10 +392,10 @@
             applied: self.versions.applied,
             rejected: self.versions.rejected.clone(),
         };
-        self.send_up(report, effects);
+        self.send_to_relay(report, effects);
         if self.uses_rows() {
             self.reported_at = Some(self.at.now);
-            effects.push(ControlEffect::Report {
+            effects.push(ControlEffect::WriteStatus {
                 status: DaemonStatus {
                     id: self.settings.id.clone(),
                     zone: self.settings.zone.clone(),
@@ -407,7 +407,7 @@
         }
     }
 
-    fn refresh_report(&mut self, effects: &mut Vec<ControlEffect>) {
+    fn refresh_status(&mut self, effects: &mut Vec<ControlEffect>) {
         let due = self
             .reported_at
             .is_none_or(|at| self.at.now.saturating_duration_since(at) >= self.settings.refresh);
--- a/crates/daemon/src/control/peers.rs
+++ b/crates/daemon/src/control/peers.rs
@@ -64,7 +64,7 @@
 
 fn send(peers: Vec<u64>, message: RelayMessage, effects: &mut Vec<ControlEffect>) {
     if !peers.is_empty() {
-        effects.push(ControlEffect::SendPeers {
+        effects.push(ControlEffect::SendToPeers {
             peers,
             message: Arc::new(message),
         });
@@ -72,7 +72,7 @@
 }
 
 impl ControlState {
-    pub(super) fn on_peer_said(
+    pub(super) fn on_peer_message(
         &mut self,
         peer: u64,
         message: PeerMessage,
@@ -105,7 +105,7 @@
     fn refuse(&self, peer: u64, effects: &mut Vec<ControlEffect>) {
         let relay = self.known_relay();
         send(vec![peer], RelayMessage::Refused { relay }, effects);
-        effects.push(ControlEffect::DropPeer { peer });
+        effects.push(ControlEffect::ClosePeer { peer });
     }
 
     fn on_hello(&mut self, peer: u64, hello: PeerHello, effects: &mut Vec<ControlEffect>) {
@@ -128,9 +128,9 @@
         self.peers.links.insert(peer, entry);
         self.peers.digest_dirty = true;
         self.welcome(peer, effects);
-        self.directory.absorb(&change, &self.settings.id);
+        self.directory.apply_change(&change, &self.settings.id);
         self.tell_peers_of(&change, Some(peer), effects);
-        self.show_targets(effects);
+        self.publish_targets(effects);
         self.push_newest(effects);
     }
 
@@ -162,7 +162,7 @@
             .collect();
         for peer in older {
             self.peers.links.remove(&peer);
-            effects.push(ControlEffect::DropPeer { peer });
+            effects.push(ControlEffect::ClosePeer { peer });
         }
     }
 
@@ -170,7 +170,7 @@
     fn host_change(&self, hello: &PeerHello) -> TargetChange {
         let removed = self
             .directory
-            .addresses_of(&hello.id)
+            .target_addresses_of(&hello.id)
             .into_iter()
             .filter(|address| {
                 hello
@@ -210,13 +210,13 @@
         change: &TargetChange,
         effects: &mut Vec<ControlEffect>,
     ) {
-        self.directory.absorb(change, &self.settings.id);
+        self.directory.apply_change(change, &self.settings.id);
         if change.upserts.is_empty() && change.removed.is_empty() {
-            self.load_moves.extend(change.loads.iter().cloned());
+            self.pending_loads.extend(change.loads.iter().cloned());
         } else {
             self.tell_peers_of(change, Some(peer), effects);
         }
-        self.show_targets(effects);
+        self.publish_targets(effects);
     }
 
     fn on_moved(&mut self, relay: String, effects: &mut Vec<ControlEffect>) {
@@ -227,7 +227,7 @@
         }
     }
 
-    pub(super) fn on_peer_gone(&mut self, peer: u64) {
+    pub(super) fn on_peer_disconnected(&mut self, peer: u64) {
         if let Some(entry) = self.peers.links.remove(&peer) {
             self.peers.digest_dirty = true;
             if !self.peers.is_linked(&entry.id) {
@@ -240,7 +240,7 @@
     /// relay have the target expiry to link here before their targets are
     /// dropped, so that no live target is lost in the change.
     pub(super) fn seed_owners(&mut self) {
-        self.directory.adopt_rows(&self.settings.id);
+        self.directory.merge_scanned_rows(&self.settings.id);
         for record in self.directory.zone.values() {
             self.peers
                 .unlinked
@@ -269,8 +269,8 @@
             .map(|(peer, _)| *peer)
             .collect();
         for peer in silent {
-            self.on_peer_gone(peer);
-            effects.push(ControlEffect::DropPeer { peer });
+            self.on_peer_disconnected(peer);
+            effects.push(ControlEffect::ClosePeer { peer });
         }
     }
 
@@ -287,12 +287,14 @@
         let mut change = TargetChange::default();
         for id in gone {
             self.peers.unlinked.remove(&id);
-            change.removed.extend(self.directory.addresses_of(&id));
+            change
+                .removed
+                .extend(self.directory.target_addresses_of(&id));
         }
         if !change.is_empty() {
-            self.directory.absorb(&change, &self.settings.id);
+            self.directory.apply_change(&change, &self.settings.id);
             self.tell_peers_of(&change, None, effects);
-            self.show_targets(effects);
+            self.publish_targets(effects);
         }
     }
 
@@ -440,7 +442,7 @@
         let peers = self.peers.all();
         send(peers.clone(), RelayMessage::Goodbye { relay }, effects);
         for peer in peers {
-            effects.push(ControlEffect::DropPeer { peer });
+            effects.push(ControlEffect::ClosePeer { peer });
         }
         self.peers.links.clear();
         self.peers.unlinked.clear();
--- a/crates/daemon/src/control/settings.rs
+++ b/crates/daemon/src/control/settings.rs
@@ -19,7 +19,7 @@
     /// How versions and targets reach this daemon.
     pub mode: DistributionMode,
     /// How often the version in force is read, by a relay or in direct mode.
-    pub poll: Duration,
+    pub poll_interval: Duration,
     /// A target not heard from for this long is dropped.
     pub target_expiry: Duration,
     /// How often rows written in direct mode are refreshed.
@@ -32,7 +32,7 @@
     /// Daemons assumed in the zone until a relay says how many there are.
     pub zone_size_hint: u32,
     /// How long a version may wait for its services' targets.
-    pub stage_limit: Duration,
+    pub staging_timeout: Duration,
 }
 
 impl ControlSettings {
@@ -45,29 +45,29 @@
             address: address.to_owned(),
             incarnation: 1,
             mode: DistributionMode::Relay,
-            poll: Duration::from_millis(200),
+            poll_interval: Duration::from_millis(200),
             target_expiry: Duration::from_secs(3),
             refresh: Duration::from_secs(1),
             lease_time: Duration::from_secs(3),
             zone_reads_per_second: 50,
             zone_size_hint: 32,
-            stage_limit: Duration::from_secs(2),
+            staging_timeout: Duration::from_secs(2),
         }
     }
 
     /// The reducer's inputs for a daemon started with `settings`.
     #[must_use]
-    pub fn from_daemon(settings: &DaemonSettings, incarnation: u64) -> ControlSettings {
+    pub fn from_daemon_settings(settings: &DaemonSettings, incarnation: u64) -> ControlSettings {
         let address = settings.relay_advertise.unwrap_or(settings.relay_listen);
         ControlSettings {
             incarnation,
             mode: settings.distribution,
-            poll: settings.timeouts.poll(),
+            poll_interval: settings.timeouts.poll(),
             target_expiry: settings.timeouts.target_expiry(),
             lease_time: settings.relay.lease(),
             zone_reads_per_second: settings.relay.zone_reads_per_second,
             zone_size_hint: settings.relay.zone_size_hint,
-            stage_limit: settings.timeouts.stage(),
+            staging_timeout: settings.timeouts.stage(),
             ..ControlSettings::new(&settings.id, &settings.zone, &address.to_string())
         }
     }
--- a/crates/daemon/src/control/uplink.rs
+++ b/crates/daemon/src/control/uplink.rs
@@ -5,7 +5,7 @@
 
 use rand::Rng;
 
-use super::pace::{spread_window, CANDIDATE_PAUSE, RELAY_HEAD_START};
+use super::pace::{read_spread_window, CANDIDATE_RETRY_DELAY, PLATFORM_READ_DELAY};
 use super::{ControlEffect, ControlState, StateChange, ZoneRole};
 use crate::messages::{PeerHello, PeerMessage, RelayMessage, RelayWelcome};
 
@@ -51,7 +51,7 @@
             rejected: self.versions.rejected.clone(),
             targets: self.directory.local_records(),
         });
-        effects.push(ControlEffect::SendUp {
+        effects.push(ControlEffect::SendToRelay {
             link: id,
             message: hello,
         });
@@ -82,7 +82,7 @@
     pub(super) fn beat(&mut self, effects: &mut Vec<ControlEffect>) {
         if self.at.now >= self.zone.next_beat {
             self.zone.next_beat = self.at.now + BEAT_EVERY;
-            self.send_up(PeerMessage::Beat, effects);
+            self.send_to_relay(PeerMessage::Beat, effects);
         }
     }
 
@@ -93,7 +93,7 @@
     /// which does not name it, and the welcome, it was told to nobody.
     pub(super) fn send_behind_hello(&self, message: PeerMessage, effects: &mut Vec<ControlEffect>) {
         if let Some(link) = &self.zone.link {
-            effects.push(ControlEffect::SendUp {
+            effects.push(ControlEffect::SendToRelay {
                 link: link.id,
                 message,
             });
@@ -101,9 +101,9 @@
     }
 
     /// Sends to the relay, when linked.
-    pub(super) fn send_up(&self, message: PeerMessage, effects: &mut Vec<ControlEffect>) {
+    pub(super) fn send_to_relay(&self, message: PeerMessage, effects: &mut Vec<ControlEffect>) {
         if let Some(link) = self.zone.link.as_ref().filter(|link| link.joined) {
-            effects.push(ControlEffect::SendUp {
+            effects.push(ControlEffect::SendToRelay {
                 link: link.id,
                 message,
             });
@@ -128,11 +128,11 @@
         let moved = PeerMessage::Moved {
             relay: address.clone(),
         };
-        self.send_up(moved, effects);
+        self.send_to_relay(moved, effects);
         self.connect(address, effects);
     }
 
-    pub(super) fn on_relay_said(
+    pub(super) fn on_relay_message(
         &mut self,
         link: u64,
         message: RelayMessage,
@@ -148,8 +148,8 @@
             RelayMessage::Refused { relay } => self.on_refused(relay, effects),
             RelayMessage::Version(update) => self.on_update(update, effects),
             RelayMessage::Targets(change) => {
-                self.directory.absorb(&change, &self.settings.id);
-                self.show_targets(effects);
+                self.directory.apply_change(&change, &self.settings.id);
+                self.publish_targets(effects);
             }
             RelayMessage::Zone(shape) => self.zone.shape = shape,
             RelayMessage::Platform { reachable } => self.on_relay_platform(reachable, effects),
@@ -172,7 +172,7 @@
         }
         link.joined = true;
         let address = link.address.clone();
-        effects.push(ControlEffect::Note {
+        effects.push(ControlEffect::RecordStateChange {
             change: StateChange::RelayJoined {
                 address: address.clone(),
                 token: welcome.token,
@@ -217,8 +217,8 @@
     /// After a refusal or a failed link, the next candidate is tried only
     /// after a jittered pause.
     fn retry_soon(&mut self) {
-        let jitter = CANDIDATE_PAUSE.mul_f64(self.rng.random());
-        self.zone.next_candidate = self.at.now + CANDIDATE_PAUSE + jitter;
+        let jitter = CANDIDATE_RETRY_DELAY.mul_f64(self.rng.random());
+        self.zone.next_candidate = self.at.now + CANDIDATE_RETRY_DELAY + jitter;
     }
 
     fn on_relay_platform(&mut self, reachable: bool, effects: &mut Vec<ControlEffect>) {
@@ -233,8 +233,8 @@
                 serving: self.versions.applied,
             }
         };
-        effects.push(ControlEffect::Note { change });
-        let window = spread_window(&self.settings, self.zone.shape.size);
+        effects.push(ControlEffect::RecordStateChange { change });
+        let window = read_spread_window(&self.settings, self.zone.shape.size);
         let start = self.at.now + window.mul_f64(self.rng.random());
         self.zone.next_lease_read = start;
         self.zone.next_current_read = start;
@@ -248,7 +248,7 @@
     /// Asks for the newest version when a beat tells of one that did not come.
     fn on_relay_beat(&mut self, newest: u64, effects: &mut Vec<ControlEffect>) {
         if newest > self.versions.newest_number() {
-            self.send_up(PeerMessage::NeedWhole, effects);
+            self.send_to_relay(PeerMessage::NeedWhole, effects);
         }
     }
 
@@ -273,7 +273,7 @@
             self.refill_candidates();
             return;
         }
-        effects.push(ControlEffect::Note {
+        effects.push(ControlEffect::RecordStateChange {
             change: StateChange::RelayLost {
                 address: lost.address.clone(),
             },
@@ -281,12 +281,12 @@
         self.zone.lost_address = Some(lost.address);
         self.zone.seen = None;
         self.start_seeking();
-        let window = spread_window(&self.settings, self.zone.shape.size);
+        let window = read_spread_window(&self.settings, self.zone.shape.size);
         let start = self.at.now + window.mul_f64(self.rng.random());
         // The successors are known here, so the platform is asked only by a
         // daemon that does not find one of them within the head start.
-        self.zone.next_lease_read = start + RELAY_HEAD_START;
-        self.zone.next_current_read = start + RELAY_HEAD_START;
+        self.zone.next_lease_read = start + PLATFORM_READ_DELAY;
+        self.zone.next_current_read = start + PLATFORM_READ_DELAY;
         self.zone.candidates.clear();
         self.refill_candidates();
     }
--- a/crates/daemon/src/control/version.rs
+++ b/crates/daemon/src/control/version.rs
@@ -121,8 +121,8 @@
         delta: Option<DeltaPointer>,
         effects: &mut Vec<ControlEffect>,
     ) {
-        self.reading_current = false;
-        self.platform_answered(effects);
+        self.current_read_pending = false;
+        self.on_platform_answered(effects);
         self.raise_floor(number);
         self.settle_floor(effects);
         let already_fetching = self
@@ -153,7 +153,7 @@
         bytes: usize,
         effects: &mut Vec<ControlEffect>,
     ) {
-        self.platform_answered(effects);
+        self.on_platform_answered(effects);
         if let Some(record) = self.versions.rebuild(base, number, delta) {
             self.on_version(&Arc::new(record), bytes, effects);
         } else {
@@ -195,7 +195,7 @@
                 delta,
             } => {
                 let Some(record) = self.versions.rebuild(base, number, &delta) else {
-                    self.send_up(PeerMessage::NeedWhole, effects);
+                    self.send_to_relay(PeerMessage::NeedWhole, effects);
                     return;
                 };
                 let bytes = VersionCodec::encode_delta(&delta).len();
@@ -246,7 +246,7 @@
             return;
         }
         self.versions.rejected = Some((number, reason.to_owned()));
-        effects.push(ControlEffect::Note {
+        effects.push(ControlEffect::RecordStateChange {
             change: StateChange::Rejected {
                 number,
                 reason: reason.to_owned(),
@@ -269,7 +269,7 @@
         };
         let lacking = self.lacking_services(&staged.table);
         if !lacking.is_empty() {
-            effects.push(ControlEffect::Note {
+            effects.push(ControlEffect::RecordStateChange {
                 change: StateChange::Staged {
                     number: record.number,
                     services: lacking.into_iter().collect(),
@@ -294,7 +294,7 @@
             return;
         };
         let waited = self.at.now.saturating_duration_since(staged.since);
-        let waits = waited < self.settings.stage_limit
+        let waits = waited < self.settings.staging_timeout
             && self.versions.applied > 0
             && !self.lacking_services(&staged.table).is_empty();
         if waits {
@@ -309,7 +309,7 @@
             number,
             table: staged.table,
         });
-        effects.push(ControlEffect::Note {
+        effects.push(ControlEffect::RecordStateChange {
             change: StateChange::Applied {
                 from,
                 to: number,
@@ -327,7 +327,7 @@
             .services()
             .into_iter()
             .filter(|service| !used.contains(service))
-            .filter(|service| self.directory.shown.serving(service).next().is_none())
+            .filter(|service| self.directory.published.serving(service).next().is_none())
             .map(str::to_owned)
             .collect()
     }
--- a/crates/daemon/src/control/zone.rs
+++ b/crates/daemon/src/control/zone.rs
@@ -17,7 +17,7 @@
 use rand::Rng;
 
 use super::lease::{HeldLease, LeaseCall, SeenLease};
-use super::pace::{spread_window, CANDIDATE_PAUSE, RELAY_HEAD_START};
+use super::pace::{read_spread_window, CANDIDATE_RETRY_DELAY, PLATFORM_READ_DELAY};
 use super::uplink::RelayLink;
 use super::{ControlEffect, ControlSettings, ControlState, StateChange};
 use crate::messages::ZoneShape;
@@ -96,10 +96,11 @@
 
 impl ZoneState {
     pub(super) fn new(settings: &ControlSettings, now: Instant, rng: &mut StdRng) -> ZoneState {
-        let start = now + spread_window(settings, settings.zone_size_hint).mul_f64(rng.random());
+        let start =
+            now + read_spread_window(settings, settings.zone_size_hint).mul_f64(rng.random());
         let head_start = match settings.mode {
             DistributionMode::Direct => Duration::ZERO,
-            DistributionMode::Relay => RELAY_HEAD_START,
+            DistributionMode::Relay => PLATFORM_READ_DELAY,
         };
         ZoneState {
             role: ZoneRole::Seeking,
@@ -138,18 +139,18 @@
     pub(super) fn tick_zone(&mut self, effects: &mut Vec<ControlEffect>) {
         match self.zone.role {
             ZoneRole::Leader => {
-                self.renew_lease(effects);
-                self.read_current_paced(self.settings.poll, effects);
+                self.renew_lease_if_due(effects);
+                self.read_current_if_due(self.settings.poll_interval, effects);
             }
             ZoneRole::Acting => {
-                self.read_lease_paced(effects);
-                self.read_current_paced(self.settings.poll, effects);
+                self.read_lease_if_due(effects);
+                self.read_current_if_due(self.settings.poll_interval, effects);
             }
             ZoneRole::Follower => {
                 if !self.zone.relay_reaches_platform {
-                    let window = spread_window(&self.settings, self.zone.shape.size);
-                    self.read_lease_paced(effects);
-                    self.read_current_paced(self.settings.poll.max(window), effects);
+                    let window = read_spread_window(&self.settings, self.zone.shape.size);
+                    self.read_lease_if_due(effects);
+                    self.read_current_if_due(self.settings.poll_interval.max(window), effects);
                 }
                 self.beat(effects);
             }
@@ -160,7 +161,7 @@
         if self.at.now >= self.zone.next_loads {
             let scale = (self.zone.shape.size / LOADS_ZONE_SIZE).max(1);
             self.zone.next_loads = self.at.now + LOADS_EVERY * scale.saturating_pow(2);
-            self.spread_loads(effects);
+            self.broadcast_loads(effects);
         }
     }
 
@@ -170,13 +171,13 @@
             .now
             .saturating_duration_since(self.zone.without_relay_since);
         self.zone.fell_back = without >= FALL_BACK_AFTER;
-        let window = spread_window(&self.settings, self.zone.shape.size);
-        self.read_lease_paced(effects);
-        let due = self.read_current_paced(self.settings.poll.max(window), effects);
+        let window = read_spread_window(&self.settings, self.zone.shape.size);
+        self.read_lease_if_due(effects);
+        let due = self.read_current_if_due(self.settings.poll_interval.max(window), effects);
         if due && self.zone.fell_back {
             self.read_targets(effects);
-            self.refresh_rows(effects);
-            self.refresh_report(effects);
+            self.refresh_target_rows(effects);
+            self.refresh_status(effects);
         }
         self.try_candidate(effects);
     }
@@ -188,8 +189,8 @@
         let Some(address) = self.zone.candidates.pop_front() else {
             return;
         };
-        let jitter = CANDIDATE_PAUSE.mul_f64(self.rng.random());
-        self.zone.next_candidate = self.at.now + CANDIDATE_PAUSE + jitter;
+        let jitter = CANDIDATE_RETRY_DELAY.mul_f64(self.rng.random());
+        self.zone.next_candidate = self.at.now + CANDIDATE_RETRY_DELAY + jitter;
         if address == self.settings.address {
             self.act(effects);
         } else {
@@ -204,14 +205,14 @@
         self.zone.next_lease_read = self.at.now;
         self.zone.next_current_read = self.at.now;
         self.seed_owners();
-        effects.push(ControlEffect::Note {
+        effects.push(ControlEffect::RecordStateChange {
             change: StateChange::RelayActing,
         });
     }
 
     /// Reads the `current` row at most every `pause`, backing off with jitter
     /// while the platform fails. Returns whether it was time to.
-    pub(super) fn read_current_paced(
+    pub(super) fn read_current_if_due(
         &mut self,
         pause: Duration,
         effects: &mut Vec<ControlEffect>,
@@ -221,7 +222,7 @@
         }
         let backoff = BACKOFF_LIMIT.min(pause * 2u32.saturating_pow(self.platform_failures.min(8)));
         let pause = pause.max(backoff);
-        let jittered = if pause > self.settings.poll {
+        let jittered = if pause > self.settings.poll_interval {
             pause.mul_f64(0.5 + self.rng.random::<f64>())
         } else {
             pause
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -125,7 +125,7 @@
         tokio::spawn(async move {
             let _ = serve_peer(socket, peer, &senders, &events, &counters).await;
             senders.close(peer);
-            let _ = events.send(ControlEvent::PeerGone { peer }).await;
+            let _ = events.send(ControlEvent::PeerDisconnected { peer }).await;
         });
     }
 }
@@ -153,7 +153,7 @@
     let (sender, queue) = mpsc::channel(OUTGOING_QUEUE);
     senders.lock().insert(peer, sender);
     let reading = read_frames(request.into_body(), counters, |message: PeerMessage| {
-        events.send(ControlEvent::PeerSaid { peer, message })
+        events.send(ControlEvent::PeerMessageReceived { peer, message })
     });
     tokio::select! {
         ended = drive(&mut connection) => ended,
@@ -195,7 +195,7 @@
     let reading = async {
         let response = incoming.await?;
         read_frames(response.into_body(), counters, |message: RelayMessage| {
-            events.send(ControlEvent::RelaySaid { link, message })
+            events.send(ControlEvent::RelayMessageReceived { link, message })
         })
         .await
     };
--- a/crates/daemon/src/platform_calls.rs
+++ b/crates/daemon/src/platform_calls.rs
@@ -170,7 +170,7 @@
                 Ok(WriteOutcome::Written(row)) => {
                     lease_row(row).map_or(failed, |row| ControlEvent::LeaseWritten { row })
                 }
-                Ok(WriteOutcome::Refused(row)) => ControlEvent::LeaseRefused {
+                Ok(WriteOutcome::Refused(row)) => ControlEvent::LeaseWriteRefused {
                     row: row.and_then(lease_row),
                 },
                 Err(_) => failed,
@@ -207,7 +207,7 @@
             let value = serde_json::to_value(digest).unwrap_or_default();
             match platform.put(&key, expect, value).await {
                 Ok(WriteOutcome::Written(_)) => None,
-                Ok(WriteOutcome::Refused(_)) | Err(_) => Some(ControlEvent::DigestUnwritten),
+                Ok(WriteOutcome::Refused(_)) | Err(_) => Some(ControlEvent::DigestWriteFailed),
             }
         });
     }
--- a/crates/daemon/src/runner.rs
+++ b/crates/daemon/src/runner.rs
@@ -79,9 +79,9 @@
                     .config
                     .store(Arc::new(AppliedConfig { number, table }));
             }
-            ControlEffect::ShowTargets { targets } => self.proxy.targets.store(targets),
+            ControlEffect::PublishTargets { targets } => self.proxy.targets.store(targets),
             ControlEffect::WriteTarget { record } => self.calls.write_target(&record),
-            ControlEffect::Report { status } => self.calls.write_status(&status),
+            ControlEffect::WriteStatus { status } => self.calls.write_status(&status),
             ControlEffect::WriteDigest { digest } => self.calls.write_digest(digest),
             ControlEffect::ReadLease => self.calls.read_lease(),
             ControlEffect::WriteLease { expect, record } => {
@@ -91,15 +91,15 @@
             ControlEffect::Disconnect { link } => {
                 self.uplinks.remove(&link);
             }
-            ControlEffect::SendUp { link, message } => self.send_up(link, encode_frame(&message)),
-            ControlEffect::SendPeers { peers, message } => {
+            ControlEffect::SendToRelay { link, message } => self.send(link, encode_frame(&message)),
+            ControlEffect::SendToPeers { peers, message } => {
                 let frame = encode_frame(&*message);
                 for peer in peers {
                     self.peers.send(peer, frame.clone());
                 }
             }
-            ControlEffect::DropPeer { peer } => self.peers.close(peer),
-            ControlEffect::Note { change } => self.note(&change),
+            ControlEffect::ClosePeer { peer } => self.peers.close(peer),
+            ControlEffect::RecordStateChange { change } => self.note(&change),
         }
     }
 
@@ -118,7 +118,7 @@
         });
     }
 
-    fn send_up(&mut self, link: u64, frame: Bytes) {
+    fn send(&mut self, link: u64, frame: Bytes) {
         // A relay that takes nothing for a whole queue is given up: dropping
         // the sender ends the link, and the daemon looks for a relay anew.
         let taken = self
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -106,7 +106,7 @@
         uplinks: HashMap::new(),
     };
     let control = ControlState::new(
-        ControlSettings::from_daemon(&settings, incarnation(clock.as_ref())),
+        ControlSettings::from_daemon_settings(&settings, incarnation(clock.as_ref())),
         clock.reading(),
     );
     let tick = settings.timeouts.poll().min(TICK);
--- a/crates/daemon/tests/control_cases.rs
+++ b/crates/daemon/tests/control_cases.rs
@@ -121,7 +121,7 @@
     let effects = daemon.step(fetched(2, false));
     assert!(effects.iter().any(|effect| matches!(
         effect,
-        ControlEffect::Note {
+        ControlEffect::RecordStateChange {
             change: StateChange::Rejected { number: 2, .. }
         }
     )));
@@ -154,7 +154,7 @@
     });
     assert_eq!(
         first,
-        [ControlEffect::Note {
+        [ControlEffect::RecordStateChange {
             change: StateChange::PlatformLost { serving: 1 }
         }]
     );
@@ -166,7 +166,7 @@
         object: "versions/1".to_owned(),
         delta: None,
     });
-    assert!(back.contains(&ControlEffect::Note {
+    assert!(back.contains(&ControlEffect::RecordStateChange {
         change: StateChange::PlatformBack
     }));
 }
@@ -211,7 +211,7 @@
     let mut daemon = TestDaemon::new();
     daemon.step(fetched(1, true));
     let announced = |at: u64, now: u64| {
-        (at <= now).then(|| ControlEvent::Announced {
+        (at <= now).then(|| ControlEvent::TargetAnnounced {
             announcement: TargetAnnouncement {
                 service: "pricing".to_owned(),
                 address: "127.0.0.1:9009".to_owned(),
@@ -241,7 +241,7 @@
 }
 
 fn announce(leaving: bool) -> ControlEvent {
-    ControlEvent::Announced {
+    ControlEvent::TargetAnnounced {
         announcement: TargetAnnouncement {
             service: "quoting".to_owned(),
             address: "127.0.0.1:9001".to_owned(),
@@ -367,9 +367,9 @@
         load: 0,
         leaving: false,
     };
-    let effects = daemon.step_at(105, ControlEvent::Announced { announcement });
+    let effects = daemon.step_at(105, ControlEvent::TargetAnnounced { announcement });
     let is_told = effects.iter().any(|effect| match effect {
-        ControlEffect::SendUp {
+        ControlEffect::SendToRelay {
             message: PeerMessage::Targets(change),
             ..
         } => change
@@ -413,7 +413,7 @@
         ..TargetChange::default()
     });
     for message in [welcome, targets] {
-        daemon.step_at(now, ControlEvent::RelaySaid { link, message });
+        daemon.step_at(now, ControlEvent::RelayMessageReceived { link, message });
     }
 }
 
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -224,7 +224,7 @@
         if let Some(link) = self.links.remove(&key) {
             let down = ControlEvent::LinkDown { link: key.1 };
             self.daemons[link.from].inbox.push_back((0, down));
-            let gone = ControlEvent::PeerGone { peer: link.peer };
+            let gone = ControlEvent::PeerDisconnected { peer: link.peer };
             self.daemons[link.to].inbox.push_back((0, gone));
         }
     }
@@ -299,13 +299,13 @@
             ControlEffect::WriteLease { expect, record } => self.write_lease(index, expect, record),
             ControlEffect::Connect { link, address } => self.connect(index, link, &address),
             ControlEffect::Disconnect { link } => self.end_link((index, link)),
-            ControlEffect::SendUp { link, message } => self.send_up(index, link, message),
-            ControlEffect::SendPeers { peers, message } => {
+            ControlEffect::SendToRelay { link, message } => self.send_up(index, link, message),
+            ControlEffect::SendToPeers { peers, message } => {
                 for peer in peers {
                     self.send_peer(index, peer, &message);
                 }
             }
-            ControlEffect::DropPeer { peer } => {
+            ControlEffect::ClosePeer { peer } => {
                 // A stuck link is not told that it was dropped either.
                 let key = self.link_of(index, peer);
                 if let Some(key) = key.filter(|key| !self.links[key].stuck) {
@@ -313,7 +313,7 @@
                 }
             }
             ControlEffect::Apply { number, .. } => self.daemons[index].applied.push(number),
-            ControlEffect::Note {
+            ControlEffect::RecordStateChange {
                 change: StateChange::LeaseTaken { token },
             } => {
                 let incarnation = self.daemons[index].incarnation;
@@ -355,7 +355,7 @@
         };
         if !holds {
             let row = self.lease.clone();
-            self.platform(index, step, ControlEvent::LeaseRefused { row });
+            self.platform(index, step, ControlEvent::LeaseWriteRefused { row });
             return;
         }
         let row = LeaseRow {
@@ -397,7 +397,7 @@
     fn send_up(&mut self, index: usize, link: u64, message: PeerMessage) {
         let open = self.links.get(&(index, link));
         if let Some(open) = open.filter(|link| link.carries()) {
-            let event = ControlEvent::PeerSaid {
+            let event = ControlEvent::PeerMessageReceived {
                 peer: open.peer,
                 message,
             };
@@ -418,7 +418,7 @@
         };
         let open = &self.links[&key];
         if open.carries() {
-            let event = ControlEvent::RelaySaid {
+            let event = ControlEvent::RelayMessageReceived {
                 link: key.1,
                 message: message.clone(),
             };
