--- a/crates/daemon/src/control/directory.rs
+++ b/crates/daemon/src/control/directory.rs
@@ -149,8 +149,8 @@
             self.pending_loads.extend(change.loads);
             return;
         }
-        self.send_behind_hello(PeerMessage::Targets(change.clone()), effects);
-        self.tell_peers_of(&change, None, effects);
+        self.send_after_hello(PeerMessage::Targets(change.clone()), effects);
+        self.broadcast_target_change(&change, None, effects);
     }
 
     /// Sends the loads that moved since the last batch.
@@ -164,8 +164,8 @@
                 .collect(),
             ..TargetChange::default()
         };
-        self.send_behind_hello(PeerMessage::Targets(change.clone()), effects);
-        self.tell_peers_of(&change, None, effects);
+        self.send_after_hello(PeerMessage::Targets(change.clone()), effects);
+        self.broadcast_target_change(&change, None, effects);
     }
 
     /// Drops this host's targets that stopped announcing themselves.
--- a/crates/daemon/src/control/lease.rs
+++ b/crates/daemon/src/control/lease.rs
@@ -45,7 +45,7 @@
         if self.at.now < self.zone.next_lease_read || self.zone.lease_call != LeaseCall::Idle {
             return;
         }
-        let window = read_spread_window(&self.settings, self.zone.shape.size);
+        let window = read_spread_window(&self.settings, self.zone.membership.size);
         let pause = (self.settings.lease_time / RENEWALS_PER_LEASE).max(window);
         let jitter = pause.mul_f64(self.rng.random::<f64>() * 0.5);
         self.zone.next_lease_read = self.at.now + pause + jitter;
@@ -78,7 +78,7 @@
                 token: held.record.token,
             },
         });
-        self.tell_platform_state(effects);
+        self.broadcast_platform_state(effects);
     }
 
     pub(super) fn renew_lease_if_due(&mut self, effects: &mut Vec<ControlEffect>) {
@@ -191,16 +191,16 @@
             });
             effects.push(ControlEffect::Disconnect { link: link.id });
         }
-        if !self.zone.role.relays() {
-            self.seed_owners();
+        if !self.zone.role.is_relay() {
+            self.mark_known_hosts_unlinked();
         }
         self.zone.role = ZoneRole::Leader;
-        self.zone.fell_back = false;
+        self.zone.fallback_active = false;
         self.peers.digest_dirty = true;
         effects.push(ControlEffect::RecordStateChange {
             change: StateChange::LeaseTaken { token },
         });
-        self.tell_platform_state(effects);
+        self.broadcast_platform_state(effects);
         self.zone.next_current_read = self.at.now;
         self.read_current_if_due(self.settings.poll_interval, effects);
         self.check_lease(effects);
@@ -239,7 +239,7 @@
         if released || own || lapsed {
             self.take_lease(Some(&row), effects);
         } else {
-            self.follow(row.record.address, effects);
+            self.follow_relay(row.record.address, effects);
         }
     }
 }
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -274,7 +274,7 @@
                 number,
                 object,
                 delta,
-            } => self.on_current(number, object, delta, &mut effects),
+            } => self.on_current_read(number, object, delta, &mut effects),
             ControlEvent::DeltaFetched {
                 base,
                 number,
@@ -347,7 +347,9 @@
     fn uses_rows(&self) -> bool {
         match self.settings.mode {
             DistributionMode::Direct => true,
-            DistributionMode::Relay => self.zone.role == ZoneRole::Seeking && self.zone.fell_back,
+            DistributionMode::Relay => {
+                self.zone.role == ZoneRole::Seeking && self.zone.fallback_active
+            }
         }
     }
 
@@ -355,11 +357,11 @@
         match step {
             PlatformStep::ReadCurrent => {
                 self.current_read_pending = false;
-                self.settle_floor(effects);
+                self.on_floor_known(effects);
             }
-            PlatformStep::FetchVersion => self.versions.fetch_failed(),
+            PlatformStep::FetchVersion => self.versions.on_fetch_failed(),
             PlatformStep::ReadTargets => self.reading_targets = false,
-            PlatformStep::Lease => self.zone.lease_call_failed(),
+            PlatformStep::Lease => self.zone.on_lease_call_failed(),
             PlatformStep::Write => {}
         }
         self.platform_failures = self.platform_failures.saturating_add(1);
@@ -370,7 +372,7 @@
                     serving: self.versions.applied,
                 },
             });
-            self.tell_platform_state(effects);
+            self.broadcast_platform_state(effects);
         }
     }
 
@@ -381,7 +383,7 @@
             effects.push(ControlEffect::RecordStateChange {
                 change: StateChange::PlatformBack,
             });
-            self.tell_platform_state(effects);
+            self.broadcast_platform_state(effects);
         }
     }
 
--- a/crates/daemon/src/control/peers.rs
+++ b/crates/daemon/src/control/peers.rs
@@ -11,7 +11,7 @@
 use super::uplink::LINK_SILENCE;
 use super::{ControlEffect, ControlState, ZoneRole};
 use crate::messages::{
-    PeerHello, PeerMessage, RelayMessage, RelayWelcome, TargetChange, VersionUpdate, ZoneShape,
+    PeerHello, PeerMessage, RelayMessage, RelayWelcome, TargetChange, VersionUpdate, ZoneMembership,
 };
 
 /// Successors each peer is told of.
@@ -43,7 +43,7 @@
     /// Whether the digest row is out of date.
     pub(super) digest_dirty: bool,
     digest_at: Option<Instant>,
-    told_shape: ZoneShape,
+    told_shape: ZoneMembership,
     shape_at: Option<Instant>,
 }
 
@@ -109,7 +109,7 @@
     }
 
     fn on_hello(&mut self, peer: u64, hello: PeerHello, effects: &mut Vec<ControlEffect>) {
-        if !self.zone.role.relays() || self.is_stopping() {
+        if !self.zone.role.is_relay() || self.is_stopping() {
             self.refuse(peer, effects);
             return;
         }
@@ -129,7 +129,7 @@
         self.peers.digest_dirty = true;
         self.welcome(peer, effects);
         self.directory.apply_change(&change, &self.settings.id);
-        self.tell_peers_of(&change, Some(peer), effects);
+        self.broadcast_target_change(&change, Some(peer), effects);
         self.publish_targets(effects);
         self.push_newest(effects);
     }
@@ -139,7 +139,7 @@
             token: self.zone.token,
             floor: self.versions.floor.max(self.versions.applied),
             platform_reachable: self.brings_versions(),
-            zone: self.shape_now(),
+            zone: self.current_membership(),
         });
         send(vec![peer], welcome, effects);
         let targets = TargetChange {
@@ -214,7 +214,7 @@
         if change.upserts.is_empty() && change.removed.is_empty() {
             self.pending_loads.extend(change.loads.iter().cloned());
         } else {
-            self.tell_peers_of(change, Some(peer), effects);
+            self.broadcast_target_change(change, Some(peer), effects);
         }
         self.publish_targets(effects);
     }
@@ -223,7 +223,7 @@
         // A peer found another holder of the lease while this daemon cannot
         // reach the platform to see for itself; it and its peers follow.
         if self.zone.role == ZoneRole::Acting && relay != self.settings.address {
-            self.follow(relay, effects);
+            self.follow_relay(relay, effects);
         }
     }
 
@@ -239,7 +239,7 @@
     /// On taking over the relay: hosts whose targets were known from the last
     /// relay have the target expiry to link here before their targets are
     /// dropped, so that no live target is lost in the change.
-    pub(super) fn seed_owners(&mut self) {
+    pub(super) fn mark_known_hosts_unlinked(&mut self) {
         self.directory.merge_scanned_rows(&self.settings.id);
         for record in self.directory.zone.values() {
             self.peers
@@ -250,7 +250,7 @@
 
     /// A relay's duties on each tick.
     pub(super) fn tend_peers(&mut self, effects: &mut Vec<ControlEffect>) {
-        if !self.zone.role.relays() {
+        if !self.zone.role.is_relay() {
             return;
         }
         self.drop_silent_peers(effects);
@@ -293,14 +293,14 @@
         }
         if !change.is_empty() {
             self.directory.apply_change(&change, &self.settings.id);
-            self.tell_peers_of(&change, None, effects);
+            self.broadcast_target_change(&change, None, effects);
             self.publish_targets(effects);
         }
     }
 
     /// The zone's membership as this relay sees it.
-    pub(super) fn shape_now(&self) -> ZoneShape {
-        ZoneShape {
+    pub(super) fn current_membership(&self) -> ZoneMembership {
+        ZoneMembership {
             successors: self
                 .peers
                 .links
@@ -318,12 +318,12 @@
             .peers
             .shape_at
             .is_none_or(|at| now.saturating_duration_since(at) >= SHAPE_PAUSE);
-        let shape = self.shape_now();
-        if rested && shape != self.peers.told_shape {
+        let membership = self.current_membership();
+        if rested && membership != self.peers.told_shape {
             self.peers.shape_at = Some(now);
-            self.peers.told_shape.clone_from(&shape);
-            self.zone.shape.size = shape.size;
-            send(self.peers.all(), RelayMessage::Zone(shape), effects);
+            self.peers.told_shape.clone_from(&membership);
+            self.zone.membership.size = membership.size;
+            send(self.peers.all(), RelayMessage::Zone(membership), effects);
         }
     }
 
@@ -367,13 +367,13 @@
     }
 
     /// Passes a change of targets on to every peer but the one it came from.
-    pub(super) fn tell_peers_of(
+    pub(super) fn broadcast_target_change(
         &self,
         change: &TargetChange,
         from: Option<u64>,
         effects: &mut Vec<ControlEffect>,
     ) {
-        if change.is_empty() || !self.zone.role.relays() {
+        if change.is_empty() || !self.zone.role.is_relay() {
             return;
         }
         let mut peers = self.peers.all();
@@ -389,8 +389,8 @@
     }
 
     /// Tells the peers whether this relay reaches the platform.
-    pub(super) fn tell_platform_state(&self, effects: &mut Vec<ControlEffect>) {
-        if self.zone.role.relays() {
+    pub(super) fn broadcast_platform_state(&self, effects: &mut Vec<ControlEffect>) {
+        if self.zone.role.is_relay() {
             let reachable = self.brings_versions();
             let message = RelayMessage::Platform { reachable };
             send(self.peers.all(), message, effects);
@@ -403,7 +403,7 @@
         let Some(newest) = self.versions.newest.clone() else {
             return;
         };
-        if !self.zone.role.relays() {
+        if !self.zone.role.is_relay() {
             return;
         }
         let mut by_base: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
--- a/crates/daemon/src/control/uplink.rs
+++ b/crates/daemon/src/control/uplink.rs
@@ -91,7 +91,7 @@
     /// Guards against a target that its zone never hears of (seen as a relay
     /// that sends every call to the other target): announced between the hello,
     /// which does not name it, and the welcome, it was told to nobody.
-    pub(super) fn send_behind_hello(&self, message: PeerMessage, effects: &mut Vec<ControlEffect>) {
+    pub(super) fn send_after_hello(&self, message: PeerMessage, effects: &mut Vec<ControlEffect>) {
         if let Some(link) = &self.zone.link {
             effects.push(ControlEffect::SendToRelay {
                 link: link.id,
@@ -116,7 +116,7 @@
     /// that gets no more versions after its relay died): the lease row goes
     /// on naming the dead holder until the lease lapses. A daemon that has a
     /// link leaves it only for a holder it saw renew the lease.
-    pub(super) fn follow(&mut self, address: String, effects: &mut Vec<ControlEffect>) {
+    pub(super) fn follow_relay(&mut self, address: String, effects: &mut Vec<ControlEffect>) {
         let Some(link) = &self.zone.link else {
             self.connect(address, effects);
             return;
@@ -146,12 +146,12 @@
         match message {
             RelayMessage::Welcome(welcome) => self.on_welcome(welcome, effects),
             RelayMessage::Refused { relay } => self.on_refused(relay, effects),
-            RelayMessage::Version(update) => self.on_update(update, effects),
+            RelayMessage::Version(update) => self.on_version_update(update, effects),
             RelayMessage::Targets(change) => {
                 self.directory.apply_change(&change, &self.settings.id);
                 self.publish_targets(effects);
             }
-            RelayMessage::Zone(shape) => self.zone.shape = shape,
+            RelayMessage::Zone(membership) => self.zone.membership = membership,
             RelayMessage::Platform { reachable } => self.on_relay_platform(reachable, effects),
             RelayMessage::Beat { newest } => self.on_relay_beat(newest, effects),
             RelayMessage::Goodbye { relay } => self.on_goodbye(relay, effects),
@@ -178,16 +178,16 @@
                 token: welcome.token,
             },
         });
-        if self.zone.role.relays() {
+        if self.zone.role.is_relay() {
             self.dismiss_peers(Some(address), effects);
         }
         self.zone.token = welcome.token;
         self.zone.role = ZoneRole::Follower;
-        self.zone.fell_back = false;
+        self.zone.fallback_active = false;
         self.zone.lost_address = None;
         self.zone.seen = None;
         self.zone.candidates.clear();
-        self.zone.shape = welcome.zone;
+        self.zone.membership = welcome.zone;
         self.zone.relay_reaches_platform = welcome.platform_reachable;
         self.raise_floor(welcome.floor);
         // Read once by every daemon after its start: see `raise_floor`.
@@ -234,7 +234,7 @@
             }
         };
         effects.push(ControlEffect::RecordStateChange { change });
-        let window = read_spread_window(&self.settings, self.zone.shape.size);
+        let window = read_spread_window(&self.settings, self.zone.membership.size);
         let start = self.at.now + window.mul_f64(self.rng.random());
         self.zone.next_lease_read = start;
         self.zone.next_current_read = start;
@@ -281,7 +281,7 @@
         self.zone.lost_address = Some(lost.address);
         self.zone.seen = None;
         self.start_seeking();
-        let window = read_spread_window(&self.settings, self.zone.shape.size);
+        let window = read_spread_window(&self.settings, self.zone.membership.size);
         let start = self.at.now + window.mul_f64(self.rng.random());
         // The successors are known here, so the platform is asked only by a
         // daemon that does not find one of them within the head start.
@@ -294,7 +294,7 @@
     /// Puts the successors back on the list once it has run out.
     fn refill_candidates(&mut self) {
         if self.zone.role == ZoneRole::Seeking && self.zone.candidates.is_empty() {
-            self.zone.candidates = self.zone.shape.successors.iter().cloned().collect();
+            self.zone.candidates = self.zone.membership.successors.iter().cloned().collect();
         }
     }
 
--- a/crates/daemon/src/control/version.rs
+++ b/crates/daemon/src/control/version.rs
@@ -77,7 +77,7 @@
 
     /// The fetch under way failed; the next read of `current` starts another,
     /// of the whole version, since stored steps may be what is missing.
-    pub(super) fn fetch_failed(&mut self) {
+    pub(super) fn on_fetch_failed(&mut self) {
         self.fetching = None;
         self.delta_misfit = true;
     }
@@ -114,7 +114,7 @@
 }
 
 impl ControlState {
-    pub(super) fn on_current(
+    pub(super) fn on_current_read(
         &mut self,
         number: u64,
         object: String,
@@ -124,7 +124,7 @@
         self.current_read_pending = false;
         self.on_platform_answered(effects);
         self.raise_floor(number);
-        self.settle_floor(effects);
+        self.on_floor_known(effects);
         let already_fetching = self
             .versions
             .fetching
@@ -157,7 +157,7 @@
         if let Some(record) = self.versions.rebuild(base, number, delta) {
             self.on_version(&Arc::new(record), bytes, effects);
         } else {
-            self.versions.fetch_failed();
+            self.versions.on_fetch_failed();
         }
     }
 
@@ -173,14 +173,18 @@
 
     /// The floor is as well known as it will be: a version that waited for it
     /// is looked at now.
-    pub(super) fn settle_floor(&mut self, effects: &mut Vec<ControlEffect>) {
+    pub(super) fn on_floor_known(&mut self, effects: &mut Vec<ControlEffect>) {
         self.versions.floor_known = true;
         if let Some(record) = self.versions.awaiting_floor.take() {
-            self.on_update(VersionUpdate::Whole(record), effects);
+            self.on_version_update(VersionUpdate::Whole(record), effects);
         }
     }
 
-    pub(super) fn on_update(&mut self, update: VersionUpdate, effects: &mut Vec<ControlEffect>) {
+    pub(super) fn on_version_update(
+        &mut self,
+        update: VersionUpdate,
+        effects: &mut Vec<ControlEffect>,
+    ) {
         match update {
             VersionUpdate::Whole(record) if !self.versions.floor_known => {
                 self.versions.awaiting_floor = Some(record);
--- a/crates/daemon/src/control/zone.rs
+++ b/crates/daemon/src/control/zone.rs
@@ -20,7 +20,7 @@
 use super::pace::{read_spread_window, CANDIDATE_RETRY_DELAY, PLATFORM_READ_DELAY};
 use super::uplink::RelayLink;
 use super::{ControlEffect, ControlSettings, ControlState, StateChange};
-use crate::messages::ZoneShape;
+use crate::messages::ZoneMembership;
 use crate::settings::DistributionMode;
 
 /// How often reported loads are passed on in a small zone.
@@ -62,7 +62,7 @@
 
     /// Whether it takes links from peers.
     #[must_use]
-    pub fn relays(self) -> bool {
+    pub fn is_relay(self) -> bool {
         matches!(self, ZoneRole::Acting | ZoneRole::Leader)
     }
 }
@@ -76,8 +76,8 @@
     /// Whether the relay said it reaches the platform.
     pub(super) relay_reaches_platform: bool,
     /// Whether this daemon has been without a relay long enough to keep rows.
-    pub(super) fell_back: bool,
-    pub(super) shape: ZoneShape,
+    pub(super) fallback_active: bool,
+    pub(super) membership: ZoneMembership,
     pub(super) held: Option<HeldLease>,
     pub(super) seen: Option<SeenLease>,
     pub(super) lease_call: LeaseCall,
@@ -106,8 +106,8 @@
             role: ZoneRole::Seeking,
             token: 0,
             relay_reaches_platform: true,
-            fell_back: false,
-            shape: ZoneShape {
+            fallback_active: false,
+            membership: ZoneMembership {
                 successors: Vec::new(),
                 size: settings.zone_size_hint,
             },
@@ -130,7 +130,7 @@
 
     /// The call on the lease row failed. A write whose reply is lost may have
     /// taken effect; the next read, or the next write's refusal, tells.
-    pub(super) fn lease_call_failed(&mut self) {
+    pub(super) fn on_lease_call_failed(&mut self) {
         self.lease_call = LeaseCall::Idle;
     }
 }
@@ -148,7 +148,7 @@
             }
             ZoneRole::Follower => {
                 if !self.zone.relay_reaches_platform {
-                    let window = read_spread_window(&self.settings, self.zone.shape.size);
+                    let window = read_spread_window(&self.settings, self.zone.membership.size);
                     self.read_lease_if_due(effects);
                     self.read_current_if_due(self.settings.poll_interval.max(window), effects);
                 }
@@ -159,7 +159,7 @@
         self.give_up_silent(effects);
         self.tend_peers(effects);
         if self.at.now >= self.zone.next_loads {
-            let scale = (self.zone.shape.size / LOADS_ZONE_SIZE).max(1);
+            let scale = (self.zone.membership.size / LOADS_ZONE_SIZE).max(1);
             self.zone.next_loads = self.at.now + LOADS_EVERY * scale.saturating_pow(2);
             self.broadcast_loads(effects);
         }
@@ -170,11 +170,11 @@
             .at
             .now
             .saturating_duration_since(self.zone.without_relay_since);
-        self.zone.fell_back = without >= FALL_BACK_AFTER;
-        let window = read_spread_window(&self.settings, self.zone.shape.size);
+        self.zone.fallback_active = without >= FALL_BACK_AFTER;
+        let window = read_spread_window(&self.settings, self.zone.membership.size);
         self.read_lease_if_due(effects);
         let due = self.read_current_if_due(self.settings.poll_interval.max(window), effects);
-        if due && self.zone.fell_back {
+        if due && self.zone.fallback_active {
             self.read_targets(effects);
             self.refresh_target_rows(effects);
             self.refresh_status(effects);
@@ -201,10 +201,10 @@
     /// Starts to relay without a lease, and seeks the lease meanwhile.
     fn act(&mut self, effects: &mut Vec<ControlEffect>) {
         self.zone.role = ZoneRole::Acting;
-        self.zone.fell_back = false;
+        self.zone.fallback_active = false;
         self.zone.next_lease_read = self.at.now;
         self.zone.next_current_read = self.at.now;
-        self.seed_owners();
+        self.mark_known_hosts_unlinked();
         effects.push(ControlEffect::RecordStateChange {
             change: StateChange::RelayActing,
         });
@@ -244,8 +244,8 @@
             let expect = WriteCondition::Version(held.row_version);
             effects.push(ControlEffect::WriteLease { expect, record });
         }
-        if self.zone.role.relays() {
-            let next = self.shape_now().successors.first().cloned();
+        if self.zone.role.is_relay() {
+            let next = self.current_membership().successors.first().cloned();
             self.dismiss_peers(next, effects);
         }
     }
--- a/crates/daemon/src/messages.rs
+++ b/crates/daemon/src/messages.rs
@@ -55,7 +55,7 @@
     /// The zone's targets changed.
     Targets(TargetChange),
     /// The zone's membership changed.
-    Zone(ZoneShape),
+    Zone(ZoneMembership),
     /// Whether the relay reaches the platform.
     Platform { reachable: bool },
     /// The answer to a peer's beat: the newest version the relay has.
@@ -75,12 +75,12 @@
     /// Whether the relay reaches the platform.
     pub platform_reachable: bool,
     /// The zone's membership.
-    pub zone: ZoneShape,
+    pub zone: ZoneMembership,
 }
 
 /// The membership facts every daemon of a zone keeps for when its relay is lost.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ZoneShape {
+pub struct ZoneMembership {
     /// Relay addresses to try in this order when the relay is lost.
     pub successors: Vec<String>,
     /// Daemons in the zone, for pacing fallback reads.
--- a/crates/daemon/tests/control_cases.rs
+++ b/crates/daemon/tests/control_cases.rs
@@ -9,7 +9,9 @@
     ControlEffect, ControlEvent, ControlSettings, ControlState, LeaseRow, PlatformStep,
     StateChange, ZoneRole,
 };
-use filbert_daemon::messages::{PeerMessage, RelayMessage, RelayWelcome, TargetChange, ZoneShape};
+use filbert_daemon::messages::{
+    PeerMessage, RelayMessage, RelayWelcome, TargetChange, ZoneMembership,
+};
 use filbert_daemon::settings::DistributionMode;
 use filbert_store::{LeaseRecord, TargetAnnouncement, TargetRecord};
 use filbert_tree::{BranchPath, SettingsTree, VersionRecord};
@@ -406,7 +408,7 @@
         token: 1,
         floor: 0,
         platform_reachable: true,
-        zone: ZoneShape::default(),
+        zone: ZoneMembership::default(),
     });
     let targets = RelayMessage::Targets(TargetChange {
         reset: true,
