--- a/crates/daemon/src/control/peers.rs
+++ b/crates/daemon/src/control/peers.rs
@@ -1,5 +1,6 @@
-//! What a relay knows of its peers and sends them: versions as deltas against
-//! what each acknowledged, the zone's targets, and the zone's membership.
+//! The relay's side of the links to its peers. A relay sends each peer new
+//! versions, as deltas against the version that the peer reported as applied,
+//! the zone's targets, and the zone's membership.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,52 +9,54 @@
 use filbert_store::ZoneDigest;
 use filbert_tree::TreeDelta;
 
-use super::uplink::LINK_SILENCE;
+use super::uplink::LINK_IDLE_TIMEOUT;
 use super::{ControlEffect, ControlState, ZoneRole};
 use crate::messages::{
     PeerHello, PeerMessage, RelayMessage, RelayWelcome, TargetChange, VersionUpdate, ZoneMembership,
 };
 
-/// Successors each peer is told of.
-const SUCCESSORS: usize = 4;
-/// Shortest pause between two writes of the zone's digest.
-const DIGEST_PAUSE: Duration = Duration::from_millis(250);
-/// Shortest pause between two messages about the zone's membership.
-const SHAPE_PAUSE: Duration = Duration::from_secs(1);
+/// Maximum number of successor addresses in the zone's membership.
+const MAX_SUCCESSORS: usize = 4;
+/// Minimum time between two writes of the zone's digest row.
+const MIN_DIGEST_INTERVAL: Duration = Duration::from_millis(250);
+/// Minimum time between two broadcasts of the zone's membership.
+const MIN_MEMBERSHIP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// One linked peer.
+/// State of one linked peer.
 #[derive(Debug)]
 struct PeerEntry {
     id: String,
     address: String,
-    /// The version the peer said it has in force.
+    /// The version that the peer reported as applied.
     applied: u64,
+    /// The newest version that the peer rejected, with the reason.
     rejected: Option<(u64, String)>,
-    /// The newest version sent to it.
-    sent: u64,
-    heard_at: Instant,
+    /// The newest version sent to the peer, or the one that it had applied when it linked.
+    sent_version: u64,
+    /// When the peer's last message arrived.
+    last_received_at: Instant,
 }
 
-/// The peers linked to this relay, by link number (so, oldest first).
+/// The peers linked to this relay, by link number and therefore oldest link first.
 #[derive(Debug, Default)]
 pub(super) struct PeerTable {
     links: BTreeMap<u64, PeerEntry>,
-    /// Hosts whose targets are known but which are not linked, since when.
+    /// Daemons that have no link although their targets may be known, and since when.
     unlinked: BTreeMap<String, Instant>,
-    /// Whether the digest row is out of date.
+    /// Whether the zone's digest row is out of date.
     pub(super) digest_dirty: bool,
-    digest_at: Option<Instant>,
-    told_shape: ZoneMembership,
-    shape_at: Option<Instant>,
+    digest_written_at: Option<Instant>,
+    sent_membership: ZoneMembership,
+    membership_sent_at: Option<Instant>,
 }
 
 impl PeerTable {
-    /// Peers linked now.
+    /// The number of linked peers.
     pub(super) fn len(&self) -> usize {
         self.links.len()
     }
 
-    fn all(&self) -> Vec<u64> {
+    fn link_numbers(&self) -> Vec<u64> {
         self.links.keys().copied().collect()
     }
 
@@ -79,11 +82,11 @@
         effects: &mut Vec<ControlEffect>,
     ) {
         match self.peers.links.get_mut(&peer) {
-            Some(entry) => entry.heard_at = self.at.now,
+            Some(entry) => entry.last_received_at = self.at.now,
             None if matches!(message, PeerMessage::Hello(_) | PeerMessage::Moved { .. }) => {}
-            // A peer this relay has dropped, and which has not noticed.
+            // This relay closed the link, and the peer has not noticed yet.
             None => {
-                self.refuse(peer, effects);
+                self.refuse_peer(peer, effects);
                 return;
             }
         }
@@ -93,7 +96,7 @@
                 self.on_report(peer, applied, rejected, effects);
             }
             PeerMessage::Targets(change) => self.on_peer_targets(peer, &change, effects),
-            PeerMessage::NeedWhole => self.send_whole(peer, effects),
+            PeerMessage::NeedWhole => self.send_full_version(peer, effects),
             PeerMessage::Moved { relay } => self.on_moved(relay, effects),
             PeerMessage::Beat => {
                 let newest = self.versions.newest_number();
@@ -102,7 +105,7 @@
         }
     }
 
-    fn refuse(&self, peer: u64, effects: &mut Vec<ControlEffect>) {
+    fn refuse_peer(&self, peer: u64, effects: &mut Vec<ControlEffect>) {
         let relay = self.known_relay();
         send(vec![peer], RelayMessage::Refused { relay }, effects);
         effects.push(ControlEffect::ClosePeer { peer });
@@ -110,20 +113,20 @@
 
     fn on_hello(&mut self, peer: u64, hello: PeerHello, effects: &mut Vec<ControlEffect>) {
         if !self.zone.role.is_relay() || self.is_stopping() {
-            self.refuse(peer, effects);
+            self.refuse_peer(peer, effects);
             return;
         }
-        self.drop_older_links(&hello.id, effects);
+        self.close_older_links(&hello.id, effects);
         self.raise_floor(hello.applied);
         self.peers.unlinked.remove(&hello.id);
-        let change = self.host_change(&hello);
+        let change = self.host_target_change(&hello);
         let entry = PeerEntry {
             id: hello.id,
             address: hello.address,
             applied: hello.applied,
             rejected: hello.rejected,
-            sent: hello.applied,
-            heard_at: self.at.now,
+            sent_version: hello.applied,
+            last_received_at: self.at.now,
         };
         self.peers.links.insert(peer, entry);
         self.peers.digest_dirty = true;
@@ -131,14 +134,14 @@
         self.directory.apply_change(&change, &self.settings.id);
         self.broadcast_target_change(&change, Some(peer), effects);
         self.publish_targets(effects);
-        self.push_newest(effects);
+        self.push_newest_version(effects);
     }
 
     fn welcome(&mut self, peer: u64, effects: &mut Vec<ControlEffect>) {
         let welcome = RelayMessage::Welcome(RelayWelcome {
             token: self.zone.token,
             floor: self.versions.floor.max(self.versions.applied),
-            platform_reachable: self.brings_versions(),
+            platform_reachable: self.provides_versions(),
             zone: self.current_membership(),
         });
         send(vec![peer], welcome, effects);
@@ -150,24 +153,25 @@
         send(vec![peer], RelayMessage::Targets(targets), effects);
     }
 
-    /// A daemon that links anew has lost its older link, whether or not this
-    /// side has noticed.
-    fn drop_older_links(&mut self, id: &str, effects: &mut Vec<ControlEffect>) {
-        let older: Vec<u64> = self
+    /// Closes the older links of daemon `id`, which has just opened a new one.
+    /// The daemon no longer uses the older links, even if this relay has not
+    /// seen them fail.
+    fn close_older_links(&mut self, id: &str, effects: &mut Vec<ControlEffect>) {
+        let older_links: Vec<u64> = self
             .peers
             .links
             .iter()
             .filter(|(_, entry)| entry.id == id)
             .map(|(peer, _)| *peer)
             .collect();
-        for peer in older {
+        for peer in older_links {
             self.peers.links.remove(&peer);
             effects.push(ControlEffect::ClosePeer { peer });
         }
     }
 
-    /// What a hello changes about its host's targets.
-    fn host_change(&self, hello: &PeerHello) -> TargetChange {
+    /// The difference between the known targets of a peer's host and those in its hello.
+    fn host_target_change(&self, hello: &PeerHello) -> TargetChange {
         let removed = self
             .directory
             .target_addresses_of(&hello.id)
@@ -220,8 +224,9 @@
     }
 
     fn on_moved(&mut self, relay: String, effects: &mut Vec<ControlEffect>) {
-        // A peer found another holder of the lease while this daemon cannot
-        // reach the platform to see for itself; it and its peers follow.
+        // The peer has found another holder of the lease, which an acting
+        // relay may be unable to read from the platform itself. This daemon
+        // follows that holder, and redirects its own peers once it has joined.
         if self.zone.role == ZoneRole::Acting && relay != self.settings.address {
             self.follow_relay(relay, effects);
         }
@@ -236,9 +241,10 @@
         }
     }
 
-    /// On taking over the relay: hosts whose targets were known from the last
-    /// relay have the target expiry to link here before their targets are
-    /// dropped, so that no live target is lost in the change.
+    /// Starts the expiry of every known host's targets when this daemon
+    /// becomes the relay. Each host has `target_expiry` to link to this relay
+    /// before its targets are removed, so that no live target is lost when
+    /// the relay changes.
     pub(super) fn mark_known_hosts_unlinked(&mut self) {
         self.directory.merge_scanned_rows(&self.settings.id);
         for record in self.directory.zone.values() {
@@ -248,24 +254,27 @@
         }
     }
 
-    /// A relay's duties on each tick.
-    pub(super) fn tend_peers(&mut self, effects: &mut Vec<ControlEffect>) {
+    /// Does the relay's periodic work on each tick: closes silent links, expires
+    /// targets, and sends or writes what has changed.
+    pub(super) fn maintain_peers(&mut self, effects: &mut Vec<ControlEffect>) {
         if !self.zone.role.is_relay() {
             return;
         }
-        self.drop_silent_peers(effects);
+        self.close_silent_peers(effects);
         self.expire_unlinked(effects);
-        self.tell_shape(effects);
-        self.write_digest(effects);
+        self.broadcast_membership(effects);
+        self.write_digest_if_due(effects);
     }
 
-    fn drop_silent_peers(&mut self, effects: &mut Vec<ControlEffect>) {
+    fn close_silent_peers(&mut self, effects: &mut Vec<ControlEffect>) {
         let now = self.at.now;
         let silent: Vec<u64> = self
             .peers
             .links
             .iter()
-            .filter(|(_, entry)| now.saturating_duration_since(entry.heard_at) > LINK_SILENCE)
+            .filter(|(_, entry)| {
+                now.saturating_duration_since(entry.last_received_at) > LINK_IDLE_TIMEOUT
+            })
             .map(|(peer, _)| *peer)
             .collect();
         for peer in silent {
@@ -277,7 +286,7 @@
     fn expire_unlinked(&mut self, effects: &mut Vec<ControlEffect>) {
         let now = self.at.now;
         let expiry = self.settings.target_expiry;
-        let gone: Vec<String> = self
+        let expired: Vec<String> = self
             .peers
             .unlinked
             .iter()
@@ -285,7 +294,7 @@
             .map(|(id, _)| id.clone())
             .collect();
         let mut change = TargetChange::default();
-        for id in gone {
+        for id in expired {
             self.peers.unlinked.remove(&id);
             change
                 .removed
@@ -298,51 +307,55 @@
         }
     }
 
-    /// The zone's membership as this relay sees it.
+    /// The zone's membership according to this relay's links.
     pub(super) fn current_membership(&self) -> ZoneMembership {
         ZoneMembership {
             successors: self
                 .peers
                 .links
                 .values()
-                .take(SUCCESSORS)
+                .take(MAX_SUCCESSORS)
                 .map(|entry| entry.address.clone())
                 .collect(),
             size: u32::try_from(self.peers.len() + 1).unwrap_or(u32::MAX),
         }
     }
 
-    fn tell_shape(&mut self, effects: &mut Vec<ControlEffect>) {
+    fn broadcast_membership(&mut self, effects: &mut Vec<ControlEffect>) {
         let now = self.at.now;
-        let rested = self
+        let is_due = self
             .peers
-            .shape_at
-            .is_none_or(|at| now.saturating_duration_since(at) >= SHAPE_PAUSE);
+            .membership_sent_at
+            .is_none_or(|at| now.saturating_duration_since(at) >= MIN_MEMBERSHIP_INTERVAL);
         let membership = self.current_membership();
-        if rested && membership != self.peers.told_shape {
-            self.peers.shape_at = Some(now);
-            self.peers.told_shape.clone_from(&membership);
+        if is_due && membership != self.peers.sent_membership {
+            self.peers.membership_sent_at = Some(now);
+            self.peers.sent_membership.clone_from(&membership);
             self.zone.membership.size = membership.size;
-            send(self.peers.all(), RelayMessage::Zone(membership), effects);
+            send(
+                self.peers.link_numbers(),
+                RelayMessage::Zone(membership),
+                effects,
+            );
         }
     }
 
-    fn write_digest(&mut self, effects: &mut Vec<ControlEffect>) {
+    fn write_digest_if_due(&mut self, effects: &mut Vec<ControlEffect>) {
         let now = self.at.now;
-        let rested = self
+        let is_due = self
             .peers
-            .digest_at
-            .is_none_or(|at| now.saturating_duration_since(at) >= DIGEST_PAUSE);
-        if self.zone.role != ZoneRole::Leader || !self.peers.digest_dirty || !rested {
+            .digest_written_at
+            .is_none_or(|at| now.saturating_duration_since(at) >= MIN_DIGEST_INTERVAL);
+        if self.zone.role != ZoneRole::Leader || !self.peers.digest_dirty || !is_due {
             return;
         }
         self.peers.digest_dirty = false;
-        self.peers.digest_at = Some(now);
-        let digest = self.digest();
+        self.peers.digest_written_at = Some(now);
+        let digest = self.build_digest();
         effects.push(ControlEffect::WriteDigest { digest });
     }
 
-    fn digest(&self) -> ZoneDigest {
+    fn build_digest(&self) -> ZoneDigest {
         let mut digest = ZoneDigest {
             token: self.zone.token,
             ..ZoneDigest::default()
@@ -366,7 +379,7 @@
         digest
     }
 
-    /// Passes a change of targets on to every peer but the one it came from.
+    /// Sends a change of targets to every peer except `from`, the peer that reported it.
     pub(super) fn broadcast_target_change(
         &self,
         change: &TargetChange,
@@ -376,44 +389,45 @@
         if change.is_empty() || !self.zone.role.is_relay() {
             return;
         }
-        let mut peers = self.peers.all();
+        let mut peers = self.peers.link_numbers();
         peers.retain(|peer| Some(*peer) != from);
         send(peers, RelayMessage::Targets(change.clone()), effects);
     }
 
-    /// Whether this relay brings its peers new versions. Without a lease it
-    /// counts as not reaching the platform, so that a peer which does can
-    /// take the lease.
-    fn brings_versions(&self) -> bool {
+    /// Whether this relay provides new versions to its peers. A relay without
+    /// the lease reports that it does not reach the platform, so that a peer
+    /// that reaches the platform can take the lease.
+    fn provides_versions(&self) -> bool {
         self.platform_reachable && self.zone.role == ZoneRole::Leader
     }
 
-    /// Tells the peers whether this relay reaches the platform.
+    /// Tells the peers whether this relay provides new versions.
     pub(super) fn broadcast_platform_state(&self, effects: &mut Vec<ControlEffect>) {
         if self.zone.role.is_relay() {
-            let reachable = self.brings_versions();
+            let reachable = self.provides_versions();
             let message = RelayMessage::Platform { reachable };
-            send(self.peers.all(), message, effects);
+            send(self.peers.link_numbers(), message, effects);
         }
     }
 
-    /// Sends the newest version to every peer that was not sent it: as a
-    /// delta where the peer's version is still kept, whole otherwise.
-    pub(super) fn push_newest(&mut self, effects: &mut Vec<ControlEffect>) {
+    /// Sends the newest version to every peer that has not been sent it yet:
+    /// as a delta if this relay still keeps the version that the peer has
+    /// applied, and in full otherwise.
+    pub(super) fn push_newest_version(&mut self, effects: &mut Vec<ControlEffect>) {
         let Some(newest) = self.versions.newest.clone() else {
             return;
         };
         if !self.zone.role.is_relay() {
             return;
         }
-        let mut by_base: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
+        let mut peers_by_base: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
         for (peer, entry) in &mut self.peers.links {
-            if entry.sent < newest.number {
-                entry.sent = newest.number;
-                by_base.entry(entry.applied).or_default().push(*peer);
+            if entry.sent_version < newest.number {
+                entry.sent_version = newest.number;
+                peers_by_base.entry(entry.applied).or_default().push(*peer);
             }
         }
-        for (base, peers) in by_base {
+        for (base, peers) in peers_by_base {
             let update = match self.versions.base(base) {
                 Some(record) => VersionUpdate::Delta {
                     base,
@@ -426,20 +440,20 @@
         }
     }
 
-    fn send_whole(&self, peer: u64, effects: &mut Vec<ControlEffect>) {
+    fn send_full_version(&self, peer: u64, effects: &mut Vec<ControlEffect>) {
         if let Some(newest) = &self.versions.newest {
             let update = VersionUpdate::Whole((**newest).clone());
             send(vec![peer], RelayMessage::Version(update), effects);
         }
     }
 
-    /// Sends every peer on to another relay and closes their links.
-    pub(super) fn dismiss_peers(
+    /// Tells every peer to link to `relay`, if one is known, and closes all links.
+    pub(super) fn redirect_peers(
         &mut self,
         relay: Option<String>,
         effects: &mut Vec<ControlEffect>,
     ) {
-        let peers = self.peers.all();
+        let peers = self.peers.link_numbers();
         send(peers.clone(), RelayMessage::Goodbye { relay }, effects);
         for peer in peers {
             effects.push(ControlEffect::ClosePeer { peer });
--- a/crates/daemon/src/control/uplink.rs
+++ b/crates/daemon/src/control/uplink.rs
@@ -1,5 +1,5 @@
-//! The link of a daemon to its zone's relay: opening it, what the relay says
-//! on it, and what follows when it is lost.
+//! The peer's side of the link to the zone's relay: opening the link, handling
+//! the relay's messages, and reconnecting after the link is lost.
 
 use std::time::{Duration, Instant};
 
@@ -9,23 +9,24 @@
 use super::{ControlEffect, ControlState, StateChange, ZoneRole};
 use crate::messages::{PeerHello, PeerMessage, RelayMessage, RelayWelcome};
 
-/// How often a linked daemon says it is alive.
-const BEAT_EVERY: Duration = Duration::from_secs(2);
-/// A link that brought no message for this long is given up, on both sides.
-pub(super) const LINK_SILENCE: Duration = BEAT_EVERY.saturating_mul(2);
+/// Time between two heartbeats from a linked daemon to its relay.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// Either side closes a link on which no message has arrived for this long.
+pub(super) const LINK_IDLE_TIMEOUT: Duration = HEARTBEAT_INTERVAL.saturating_mul(2);
 
 /// A link to a relay.
 #[derive(Clone, Debug)]
 pub(super) struct RelayLink {
     pub(super) id: u64,
     pub(super) address: String,
+    /// Whether the relay has accepted this daemon with a welcome message.
     pub(super) joined: bool,
-    /// When it was opened or last brought a message.
-    pub(super) heard_at: Instant,
+    /// When the link was opened or its last message arrived.
+    pub(super) last_received_at: Instant,
 }
 
 impl ControlState {
-    /// A follower without its link is one no longer.
+    /// Moves a follower that has lost its link to the seeking role.
     fn start_seeking(&mut self) {
         if self.zone.role == ZoneRole::Follower {
             self.zone.role = ZoneRole::Seeking;
@@ -38,8 +39,8 @@
             effects.push(ControlEffect::Disconnect { link: old.id });
             self.start_seeking();
         }
-        let id = self.zone.next_link;
-        self.zone.next_link += 1;
+        let id = self.zone.next_link_id;
+        self.zone.next_link_id += 1;
         effects.push(ControlEffect::Connect {
             link: id,
             address: address.clone(),
@@ -59,38 +60,41 @@
             id,
             address,
             joined: false,
-            heard_at: self.at.now,
+            last_received_at: self.at.now,
         });
     }
 
-    /// Guards against a link that is open but brings nothing: a relay that
-    /// never answers the hello, whose control loop hangs, or whose messages
-    /// no longer get through (seen as a daemon that follows a relay and gets
-    /// no more versions, while PINGs are answered). Each beat is answered, so
-    /// a link that brought nothing over two beats is given up.
-    pub(super) fn give_up_silent(&mut self, effects: &mut Vec<ControlEffect>) {
+    /// Closes a link on which no message has arrived for [`LINK_IDLE_TIMEOUT`].
+    ///
+    /// The relay answers each heartbeat, so silence over two heartbeats means
+    /// that it never answered the hello, that its control loop hangs, or that
+    /// its messages no longer arrive. Its HTTP/2 PINGs may still be answered;
+    /// without this check the daemon would follow that relay and get no more
+    /// versions.
+    pub(super) fn close_silent_link(&mut self, effects: &mut Vec<ControlEffect>) {
         let Some(link) = &self.zone.link else {
             return;
         };
-        if self.at.now.saturating_duration_since(link.heard_at) > LINK_SILENCE {
+        if self.at.now.saturating_duration_since(link.last_received_at) > LINK_IDLE_TIMEOUT {
             let id = link.id;
             effects.push(ControlEffect::Disconnect { link: id });
             self.on_link_down(id, effects);
         }
     }
 
-    pub(super) fn beat(&mut self, effects: &mut Vec<ControlEffect>) {
-        if self.at.now >= self.zone.next_beat {
-            self.zone.next_beat = self.at.now + BEAT_EVERY;
+    pub(super) fn send_heartbeat_if_due(&mut self, effects: &mut Vec<ControlEffect>) {
+        if self.at.now >= self.zone.next_heartbeat {
+            self.zone.next_heartbeat = self.at.now + HEARTBEAT_INTERVAL;
             self.send_to_relay(PeerMessage::Beat, effects);
         }
     }
 
-    /// Sends to the relay behind this daemon's hello, answered yet or not.
+    /// Sends a message to the relay on an open link, even if the relay has not
+    /// answered this daemon's hello yet.
     ///
-    /// Guards against a target that its zone never hears of (seen as a relay
-    /// that sends every call to the other target): announced between the hello,
-    /// which does not name it, and the welcome, it was told to nobody.
+    /// A target announced between the hello, which does not list it, and the
+    /// welcome must be reported too. Otherwise the zone never learns of the
+    /// target, and the relay's proxy sends every call to the other targets.
     pub(super) fn send_after_hello(&self, message: PeerMessage, effects: &mut Vec<ControlEffect>) {
         if let Some(link) = &self.zone.link {
             effects.push(ControlEffect::SendToRelay {
@@ -100,7 +104,7 @@
         }
     }
 
-    /// Sends to the relay, when linked.
+    /// Sends a message to the relay if it has accepted this daemon; otherwise does nothing.
     pub(super) fn send_to_relay(&self, message: PeerMessage, effects: &mut Vec<ControlEffect>) {
         if let Some(link) = self.zone.link.as_ref().filter(|link| link.joined) {
             effects.push(ControlEffect::SendToRelay {
@@ -110,12 +114,12 @@
         }
     }
 
-    /// Links to the relay that holds the lease, unless linked to it already.
+    /// Links to the relay that holds the lease, unless already linked to it.
     ///
-    /// Guards against leaving a good link for a dead relay (seen as a daemon
-    /// that gets no more versions after its relay died): the lease row goes
-    /// on naming the dead holder until the lease lapses. A daemon that has a
-    /// link leaves it only for a holder it saw renew the lease.
+    /// A daemon that has joined a relay leaves it only for a holder that it
+    /// has seen renew the lease. The lease row names a dead holder until the
+    /// lease expires; a daemon that left a working link for that holder would
+    /// get no more versions.
     pub(super) fn follow_relay(&mut self, address: String, effects: &mut Vec<ControlEffect>) {
         let Some(link) = &self.zone.link else {
             self.connect(address, effects);
@@ -142,7 +146,7 @@
         let Some(current) = current.filter(|current| current.id == link) else {
             return;
         };
-        current.heard_at = self.at.now;
+        current.last_received_at = self.at.now;
         match message {
             RelayMessage::Welcome(welcome) => self.on_welcome(welcome, effects),
             RelayMessage::Refused { relay } => self.on_refused(relay, effects),
@@ -153,7 +157,7 @@
             }
             RelayMessage::Zone(membership) => self.zone.membership = membership,
             RelayMessage::Platform { reachable } => self.on_relay_platform(reachable, effects),
-            RelayMessage::Beat { newest } => self.on_relay_beat(newest, effects),
+            RelayMessage::Beat { newest } => self.on_relay_heartbeat(newest, effects),
             RelayMessage::Goodbye { relay } => self.on_goodbye(relay, effects),
         }
     }
@@ -162,8 +166,8 @@
         let Some(link) = self.zone.link.as_mut() else {
             return;
         };
-        // Guards against following a relay that was paused while another one
-        // took its lease: its token is lower than the one already seen.
+        // A relay that was paused while another daemon took its lease has a
+        // lower fencing token than the highest one seen, and is not followed.
         if welcome.token < self.zone.token {
             let id = link.id;
             effects.push(ControlEffect::Disconnect { link: id });
@@ -179,18 +183,18 @@
             },
         });
         if self.zone.role.is_relay() {
-            self.dismiss_peers(Some(address), effects);
+            self.redirect_peers(Some(address), effects);
         }
         self.zone.token = welcome.token;
         self.zone.role = ZoneRole::Follower;
         self.zone.fallback_active = false;
-        self.zone.lost_address = None;
+        self.zone.lost_relay_address = None;
         self.zone.seen = None;
         self.zone.candidates.clear();
         self.zone.membership = welcome.zone;
         self.zone.relay_reaches_platform = welcome.platform_reachable;
         self.raise_floor(welcome.floor);
-        // Read once by every daemon after its start: see `raise_floor`.
+        // Every daemon reads `current` once after its start; `raise_floor` gives the reason.
         if !self.versions.floor_known {
             self.read_current(effects);
         }
@@ -202,21 +206,20 @@
         };
         effects.push(ControlEffect::Disconnect { link: link.id });
         self.start_seeking();
-        // The lost relay's address may come back from a daemon that has not
-        // noticed the loss yet; trying it again would only fail again.
-        let hint = relay
-            .filter(|address| Some(address) != self.zone.lost_address.as_ref())
+        // A daemon that has not noticed the loss of the relay may still name
+        // its address. A link to that address would only fail again.
+        let next_relay = relay
+            .filter(|address| Some(address) != self.zone.lost_relay_address.as_ref())
             .filter(|address| *address != link.address && *address != self.settings.address);
-        match hint {
+        match next_relay {
             Some(address) => self.zone.candidates.push_front(address),
             None => self.zone.candidates.push_front(link.address),
         }
-        self.retry_soon();
+        self.delay_next_candidate();
     }
 
-    /// After a refusal or a failed link, the next candidate is tried only
-    /// after a jittered pause.
-    fn retry_soon(&mut self) {
+    /// Delays the next candidate, with jitter, after a refusal or a failed link.
+    fn delay_next_candidate(&mut self) {
         let jitter = CANDIDATE_RETRY_DELAY.mul_f64(self.rng.random());
         self.zone.next_candidate = self.at.now + CANDIDATE_RETRY_DELAY + jitter;
     }
@@ -240,13 +243,14 @@
         self.zone.next_current_read = start;
     }
 
-    /// Whether a newer version is sure to come from the relay by itself.
-    pub(super) fn relay_brings_versions(&self) -> bool {
+    /// Whether the relay sends newer versions without being asked, so that this
+    /// daemon need not fetch them from the platform.
+    pub(super) fn relay_provides_versions(&self) -> bool {
         self.zone.role == ZoneRole::Follower && self.zone.relay_reaches_platform
     }
 
-    /// Asks for the newest version when a beat tells of one that did not come.
-    fn on_relay_beat(&mut self, newest: u64, effects: &mut Vec<ControlEffect>) {
+    /// Requests the newest version if the relay's heartbeat names one that has not arrived.
+    fn on_relay_heartbeat(&mut self, newest: u64, effects: &mut Vec<ControlEffect>) {
         if newest > self.versions.newest_number() {
             self.send_to_relay(PeerMessage::NeedWhole, effects);
         }
@@ -269,7 +273,7 @@
         };
         self.zone.next_candidate = self.at.now;
         if !lost.joined {
-            self.retry_soon();
+            self.delay_next_candidate();
             self.refill_candidates();
             return;
         }
@@ -278,27 +282,28 @@
                 address: lost.address.clone(),
             },
         });
-        self.zone.lost_address = Some(lost.address);
+        self.zone.lost_relay_address = Some(lost.address);
         self.zone.seen = None;
         self.start_seeking();
         let window = read_spread_window(&self.settings, self.zone.membership.size);
         let start = self.at.now + window.mul_f64(self.rng.random());
-        // The successors are known here, so the platform is asked only by a
-        // daemon that does not find one of them within the head start.
+        // The successors are known, so a daemon reads from the platform only
+        // if it has not linked to one of them within this delay.
         self.zone.next_lease_read = start + PLATFORM_READ_DELAY;
         self.zone.next_current_read = start + PLATFORM_READ_DELAY;
         self.zone.candidates.clear();
         self.refill_candidates();
     }
 
-    /// Puts the successors back on the list once it has run out.
+    /// Refills an empty candidate list with the known successors while seeking a relay.
     fn refill_candidates(&mut self) {
         if self.zone.role == ZoneRole::Seeking && self.zone.candidates.is_empty() {
             self.zone.candidates = self.zone.membership.successors.iter().cloned().collect();
         }
     }
 
-    /// The address of the relay this daemon would send a peer to.
+    /// The address of the relay that this daemon has joined, or `None`. A peer that
+    /// this daemon refuses is redirected to that relay.
     pub(super) fn known_relay(&self) -> Option<String> {
         self.zone
             .link
--- a/crates/daemon/src/control/version.rs
+++ b/crates/daemon/src/control/version.rs
@@ -1,4 +1,5 @@
-//! Which version is in force, which one waits, and which ones are refused.
+//! Versions of the settings: which one is applied, which one is staged until its
+//! services have targets, and which one was rejected.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -10,46 +11,49 @@
 use super::{ControlEffect, ControlState, StateChange};
 use crate::messages::{PeerMessage, VersionUpdate};
 
-/// Older versions kept as bases for deltas to peers.
-const BASES_KEPT: usize = 8;
+/// Maximum number of recent versions kept as bases for deltas.
+const MAX_DELTA_BASES: usize = 8;
 
-/// A version that waits for its services' targets.
+/// A valid version that is not applied until its services have targets.
 #[derive(Debug)]
 struct StagedVersion {
     record: Arc<VersionRecord>,
     table: Arc<RouteTable>,
     bytes: usize,
-    since: Instant,
+    staged_at: Instant,
 }
 
-/// An older version kept as a base for deltas. Kept encoded: a decoded tree
-/// takes some twenty times the memory, and most bases are never used.
+/// A version kept as a base for deltas, in its encoded form: a decoded tree takes
+/// about twenty times the memory, and most bases are never used.
 #[derive(Debug)]
-struct KeptBase {
+struct DeltaBase {
     number: u64,
     bytes: Vec<u8>,
 }
 
-/// The versions this daemon knows.
+/// The versions known to this daemon.
 #[derive(Debug, Default)]
 pub(super) struct VersionState {
-    /// The version in force (0 before the first).
+    /// The number of the applied version (0 before the first).
     pub(super) applied: u64,
-    /// The newest version refused, with the reason.
+    /// The newest version rejected, with the reason.
     pub(super) rejected: Option<(u64, String)>,
-    /// The newest version received, in force or not.
+    /// The newest version received, whether applied or not.
     pub(super) newest: Option<Arc<VersionRecord>>,
-    /// No version below this is applied (see [`ControlState::raise_floor`]).
+    /// No version with a lower number is applied (see [`ControlState::raise_floor`]).
     pub(super) floor: u64,
-    /// Whether the `current` row was read, or found unreadable, since the start.
+    /// Whether a read of the `current` row has succeeded or failed since the start.
     pub(super) floor_known: bool,
-    /// A relay's version that waits for the floor to be known.
+    /// A version from the relay that is held back until the floor is known.
     awaiting_floor: Option<VersionRecord>,
+    /// The version being fetched from the platform.
     fetching: Option<u64>,
-    /// Set when steps from the platform did not fit; the next fetch is whole.
-    delta_misfit: bool,
-    in_force: Arc<RouteTable>,
-    bases: VecDeque<KeptBase>,
+    /// Set after a failed fetch or a delta that could not be applied: the next
+    /// fetch gets the full version.
+    needs_full_fetch: bool,
+    /// The compiled routes of the applied version.
+    active_table: Arc<RouteTable>,
+    bases: VecDeque<DeltaBase>,
     staged: Option<StagedVersion>,
 }
 
@@ -64,36 +68,37 @@
         self.bases.iter().any(|base| base.number == number)
     }
 
-    /// The kept version `number`, as a base for a delta.
+    /// The version `number`, decoded, if it is kept as a base for a delta.
     pub(super) fn base(&self, number: u64) -> Option<VersionRecord> {
         let base = self.bases.iter().find(|base| base.number == number)?;
         VersionCodec::decode(&base.bytes).ok()
     }
 
-    /// The version that waits for targets, if any.
+    /// The number of the staged version, if any.
     pub(super) fn staged_number(&self) -> Option<u64> {
         self.staged.as_ref().map(|staged| staged.record.number)
     }
 
-    /// The fetch under way failed; the next read of `current` starts another,
-    /// of the whole version, since stored steps may be what is missing.
+    /// Handles a failed fetch. The next read of `current` starts a fetch of the
+    /// full version, since the missing object may be the stored delta.
     pub(super) fn on_fetch_failed(&mut self) {
         self.fetching = None;
-        self.delta_misfit = true;
+        self.needs_full_fetch = true;
     }
 
-    fn keep_base(&mut self, record: &VersionRecord) {
-        self.bases.push_back(KeptBase {
+    fn add_base(&mut self, record: &VersionRecord) {
+        self.bases.push_back(DeltaBase {
             number: record.number,
             bytes: VersionCodec::encode(record),
         });
-        while self.bases.len() > BASES_KEPT {
+        while self.bases.len() > MAX_DELTA_BASES {
             self.bases.pop_front();
         }
     }
 
-    /// The version that `delta` makes of the kept version `base`, if it fits.
-    fn rebuild(&self, base: u64, number: u64, delta: &TreeDelta) -> Option<VersionRecord> {
+    /// Applies `delta` to the kept version `base`. Returns `None` if that version
+    /// is not kept or the delta cannot be applied to it.
+    fn apply_delta(&self, base: u64, number: u64, delta: &TreeDelta) -> Option<VersionRecord> {
         let tree = delta.apply(&self.base(base)?.tree).ok()?;
         Some(VersionRecord {
             number,
@@ -105,11 +110,11 @@
     }
 
     fn is_known(&self, number: u64) -> bool {
-        let refused = self
+        let rejected = self
             .rejected
             .as_ref()
-            .is_some_and(|(refused, _)| *refused >= number);
-        number <= self.applied || refused || number <= self.newest_number()
+            .is_some_and(|(rejected, _)| *rejected >= number);
+        number <= self.applied || rejected || number <= self.newest_number()
     }
 }
 
@@ -129,22 +134,22 @@
             .versions
             .fetching
             .is_some_and(|fetching| fetching >= number);
-        let left_to_relay = self.relay_brings_versions();
+        let left_to_relay = self.relay_provides_versions();
         let wanted = number > 0 && !self.versions.is_known(number);
         if wanted && !already_fetching && !left_to_relay {
             self.versions.fetching = Some(number);
-            let usable = delta
-                .filter(|_| !self.versions.delta_misfit)
+            let usable_delta = delta
+                .filter(|_| !self.versions.needs_full_fetch)
                 .filter(|pointer| self.versions.has_base(pointer.base));
-            effects.push(match usable {
+            effects.push(match usable_delta {
                 Some(pointer) => ControlEffect::FetchDelta { number, pointer },
                 None => ControlEffect::FetchVersion { number, object },
             });
         }
     }
 
-    /// Steps fetched from the platform. Where they do not fit, the version is
-    /// fetched whole at the next read of `current`.
+    /// Handles a delta fetched from the platform. If the delta cannot be applied,
+    /// the full version is fetched at the next read of `current`.
     pub(super) fn on_delta_fetched(
         &mut self,
         base: u64,
@@ -154,25 +159,27 @@
         effects: &mut Vec<ControlEffect>,
     ) {
         self.on_platform_answered(effects);
-        if let Some(record) = self.versions.rebuild(base, number, delta) {
+        if let Some(record) = self.versions.apply_delta(base, number, delta) {
             self.on_version(&Arc::new(record), bytes, effects);
         } else {
             self.versions.on_fetch_failed();
         }
     }
 
-    /// Guards against a restarted daemon moving back: it keeps nothing, so a
-    /// relay that lags could hand it a version older than the one it ran
-    /// before the restart (seen as a route change that comes undone). The
-    /// highest number known from the `current` row or the zone's relay is a
-    /// lower bound for what it may apply; what it ran before was accepted, so
-    /// it cannot lie above a `current` row read after the restart.
+    /// Raises the floor, the lowest version that this daemon may apply, to the
+    /// highest number known from the `current` row, the zone's relay or its peers.
+    ///
+    /// The floor keeps a restarted daemon from going back to an older version.
+    /// A daemon keeps no state over a restart, so a relay that lags behind
+    /// could send it a version older than the one it ran before, and a route
+    /// change would be undone. The version that it ran had been accepted, so
+    /// its number is not above that of a `current` row read after the restart.
     pub(super) fn raise_floor(&mut self, number: u64) {
         self.versions.floor = self.versions.floor.max(number);
     }
 
-    /// The floor is as well known as it will be: a version that waited for it
-    /// is looked at now.
+    /// Marks the floor as known, after a read of `current` that succeeded or
+    /// failed, and handles the version that was held back until then.
     pub(super) fn on_floor_known(&mut self, effects: &mut Vec<ControlEffect>) {
         self.versions.floor_known = true;
         if let Some(record) = self.versions.awaiting_floor.take() {
@@ -198,7 +205,7 @@
                 number,
                 delta,
             } => {
-                let Some(record) = self.versions.rebuild(base, number, &delta) else {
+                let Some(record) = self.versions.apply_delta(base, number, &delta) else {
                     self.send_to_relay(PeerMessage::NeedWhole, effects);
                     return;
                 };
@@ -216,12 +223,11 @@
     ) {
         if self.versions.fetching == Some(record.number) {
             self.versions.fetching = None;
-            self.versions.delta_misfit = false;
+            self.versions.needs_full_fetch = false;
         }
-        // Guards against moving back: a fetch that was overtaken by a newer
-        // version (updates crossing in flight) arrives after the newer one was
-        // applied. Applying it would put an older version in force, so it is
-        // dropped; `applied` only ever grows.
+        // Drops an older version, so that `applied` only ever increases. When
+        // updates cross in flight, a fetched version can arrive after a newer
+        // one has been applied.
         if record.number <= self.versions.applied || record.number < self.versions.floor {
             return;
         }
@@ -231,22 +237,22 @@
         if record.number > self.versions.newest_number() {
             self.versions.newest = Some(Arc::clone(record));
         }
-        // Guards against applying a bad version in part: the whole tree is
-        // checked before anything is compiled, and only a compiled table is
-        // handed to the proxy, in one swap.
+        // Validates the whole tree before compiling any of it. The proxy gets
+        // only a complete compiled table, in one swap, so an invalid version
+        // is never applied in part.
         match record.tree.validate() {
             Ok(()) => {
-                self.versions.keep_base(record);
+                self.versions.add_base(record);
                 self.stage(record, bytes, effects);
             }
             Err(problems) => self.reject(record.number, &problems.to_string(), effects),
         }
-        self.push_newest(effects);
+        self.push_newest_version(effects);
     }
 
     fn reject(&mut self, number: u64, reason: &str, effects: &mut Vec<ControlEffect>) {
-        let refused_before = self.versions.rejected.as_ref();
-        if refused_before.is_some_and(|(refused, _)| *refused == number) {
+        let last_rejected = self.versions.rejected.as_ref();
+        if last_rejected.is_some_and(|(rejected, _)| *rejected == number) {
             return;
         }
         self.versions.rejected = Some((number, reason.to_owned()));
@@ -269,14 +275,14 @@
             record: Arc::clone(record),
             table: Arc::new(RouteTable::compile(&record.tree)),
             bytes,
-            since: self.at.now,
+            staged_at: self.at.now,
         };
-        let lacking = self.lacking_services(&staged.table);
-        if !lacking.is_empty() {
+        let missing = self.services_without_targets(&staged.table);
+        if !missing.is_empty() {
             effects.push(ControlEffect::RecordStateChange {
                 change: StateChange::Staged {
                     number: record.number,
-                    services: lacking.into_iter().collect(),
+                    services: missing.into_iter().collect(),
                 },
             });
         }
@@ -284,23 +290,24 @@
         self.apply_staged(effects);
     }
 
-    /// Puts the staged version in force once it may be.
+    /// Applies the staged version once each newly used service has a known
+    /// target, or once `staging_timeout` has passed. The first version is
+    /// applied at once.
     ///
-    /// Guards against a route that points at a service whose targets this
-    /// proxy does not know yet, seen as refusals right after a change that
-    /// moves calls to a new service. The whole version waits until each newly
-    /// used service has a target, the old routes serving meanwhile; after the
-    /// stage limit it is applied all the same, since an accepted version must
-    /// come into force, and calls on such a route are answered `not-run` by
-    /// the proxy itself rather than sent anywhere.
+    /// Until then the old routes stay active. Without this wait, calls are
+    /// refused right after a change that routes them to a new service, since
+    /// this proxy does not know that service's targets yet. After the timeout
+    /// the version is applied regardless, since an accepted version must take
+    /// effect; the proxy itself then answers calls to a service without
+    /// targets with `not-run`, and sends them to no target.
     pub(super) fn apply_staged(&mut self, effects: &mut Vec<ControlEffect>) {
         let Some(staged) = self.versions.staged.take() else {
             return;
         };
-        let waited = self.at.now.saturating_duration_since(staged.since);
+        let waited = self.at.now.saturating_duration_since(staged.staged_at);
         let waits = waited < self.settings.staging_timeout
             && self.versions.applied > 0
-            && !self.lacking_services(&staged.table).is_empty();
+            && !self.services_without_targets(&staged.table).is_empty();
         if waits {
             self.versions.staged = Some(staged);
             return;
@@ -308,7 +315,7 @@
         let from = self.versions.applied;
         let number = staged.record.number;
         self.versions.applied = number;
-        self.versions.in_force = Arc::clone(&staged.table);
+        self.versions.active_table = Arc::clone(&staged.table);
         effects.push(ControlEffect::Apply {
             number,
             table: staged.table,
@@ -323,10 +330,10 @@
         self.report(effects);
     }
 
-    /// Services that `table` uses, the table in force does not, and no known
-    /// target serves.
-    fn lacking_services(&self, table: &RouteTable) -> BTreeSet<String> {
-        let used: BTreeSet<&str> = self.versions.in_force.services().into_iter().collect();
+    /// The services that `table` uses, the active table does not use, and no
+    /// known target serves.
+    fn services_without_targets(&self, table: &RouteTable) -> BTreeSet<String> {
+        let used: BTreeSet<&str> = self.versions.active_table.services().into_iter().collect();
         table
             .services()
             .into_iter()
--- a/crates/daemon/src/control/zone.rs
+++ b/crates/daemon/src/control/zone.rs
@@ -1,13 +1,14 @@
-//! Who relays in this availability zone. One daemon holds the zone's lease in
-//! the platform's table; it alone reads new versions there and passes them on
-//! to the others, which link to it. When the relay is lost, the others agree
-//! on the next one through the lease; while the platform cannot be reached
-//! they fall in behind the first successor, which relays without a lease.
+//! Election of the relay in this availability zone. One daemon holds the zone's
+//! lease in the platform's table. Only this leader reads new versions from the
+//! platform, and it sends them to the other daemons, which link to it. When the
+//! relay is lost, the other daemons elect the next one through the lease. While
+//! the platform cannot be reached, they link to the first successor, which
+//! relays without a lease.
 //!
-//! A relay without a lease does no harm: versions only ever move forward on a
-//! daemon, and each host's targets are known from that host alone. The lease
-//! keeps the number of platform readers at one per zone, and its fencing
-//! token keeps a relay that was paused from being followed again.
+//! A relay without a lease is safe: a daemon never goes back to an older
+//! version, and each host's targets are reported by that host alone. The lease
+//! limits the platform's readers to one per zone, and its fencing token keeps
+//! daemons from following a relay again that was paused past its lease.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -23,33 +24,35 @@
 use crate::messages::ZoneMembership;
 use crate::settings::DistributionMode;
 
-/// How often reported loads are passed on in a small zone.
-const LOADS_EVERY: Duration = Duration::from_secs(1);
-/// Zone size up to which loads are passed on that often. A relay sends every
-/// load to every peer, so beyond it the pause grows with the square of the
-/// size, which keeps the relay's bytes for loads constant; proxies of large
-/// zones go by the loads that answers carry.
-const LOADS_ZONE_SIZE: u32 = 16;
-/// Without a relay for this long, a daemon keeps its own rows.
-const FALL_BACK_AFTER: Duration = Duration::from_secs(3);
-/// Longest pause between platform reads while the platform fails.
-const BACKOFF_LIMIT: Duration = Duration::from_secs(2);
+/// Time between two reports of changed target loads in a small zone.
+const LOAD_BROADCAST_INTERVAL: Duration = Duration::from_secs(1);
+/// Zone size, in daemons, for which [`LOAD_BROADCAST_INTERVAL`] applies. A relay
+/// sends every load to every peer, so in larger zones the interval grows with the
+/// square of the size, in whole multiples of this one, which keeps the bytes that
+/// the relay sends for loads constant. Proxies of large zones rely on the loads
+/// that answers carry.
+const SMALL_ZONE_SIZE: u32 = 16;
+/// A daemon that has had no relay for this long writes its own rows to the platform.
+const FALLBACK_DELAY: Duration = Duration::from_secs(3);
+/// Maximum backoff, before jitter, between platform reads while the platform fails.
+const MAX_READ_BACKOFF: Duration = Duration::from_secs(2);
 
-/// A daemon's part in its zone.
+/// A daemon's role in its zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneRole {
-    /// It has no relay and is looking for one.
+    /// The daemon has no relay and is looking for one.
     Seeking,
-    /// It is linked to a relay.
+    /// The daemon has joined a relay.
     Follower,
-    /// It relays without a lease: its relay is lost, or it cannot renew.
+    /// The daemon relays without a lease, since its relay was lost or since it
+    /// lost its own lease.
     Acting,
-    /// It holds the lease and relays.
+    /// The daemon holds the lease and relays.
     Leader,
 }
 
 impl ZoneRole {
-    /// The role's name in status and logs.
+    /// The role's name in the status.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
@@ -60,36 +63,38 @@
         }
     }
 
-    /// Whether it takes links from peers.
+    /// Whether a daemon in this role accepts links from peers.
     #[must_use]
     pub fn is_relay(self) -> bool {
         matches!(self, ZoneRole::Acting | ZoneRole::Leader)
     }
 }
 
-/// What this daemon knows of its zone.
+/// This daemon's state in its zone.
 #[derive(Debug)]
 pub(super) struct ZoneState {
     pub(super) role: ZoneRole,
-    /// The highest fencing token seen.
+    /// The highest fencing token seen, including that of this daemon's own lease.
     pub(super) token: u64,
-    /// Whether the relay said it reaches the platform.
+    /// Whether the relay reported that it reaches the platform.
     pub(super) relay_reaches_platform: bool,
-    /// Whether this daemon has been without a relay long enough to keep rows.
+    /// Whether this daemon writes its own rows, after [`FALLBACK_DELAY`] without a relay.
     pub(super) fallback_active: bool,
     pub(super) membership: ZoneMembership,
     pub(super) held: Option<HeldLease>,
     pub(super) seen: Option<SeenLease>,
     pub(super) lease_call: LeaseCall,
     pub(super) link: Option<RelayLink>,
-    pub(super) next_link: u64,
+    pub(super) next_link_id: u64,
+    /// Relay addresses to try next, in order, while seeking.
     pub(super) candidates: VecDeque<String>,
-    pub(super) lost_address: Option<String>,
+    /// The address of the relay that was lost last.
+    pub(super) lost_relay_address: Option<String>,
     pub(super) next_candidate: Instant,
     pub(super) next_lease_read: Instant,
     pub(super) next_current_read: Instant,
-    pub(super) next_beat: Instant,
-    pub(super) next_loads: Instant,
+    pub(super) next_heartbeat: Instant,
+    pub(super) next_load_broadcast: Instant,
     pub(super) without_relay_since: Instant,
     pub(super) stopping: bool,
 }
@@ -98,7 +103,7 @@
     pub(super) fn new(settings: &ControlSettings, now: Instant, rng: &mut StdRng) -> ZoneState {
         let start =
             now + read_spread_window(settings, settings.zone_size_hint).mul_f64(rng.random());
-        let head_start = match settings.mode {
+        let read_delay = match settings.mode {
             DistributionMode::Direct => Duration::ZERO,
             DistributionMode::Relay => PLATFORM_READ_DELAY,
         };
@@ -115,21 +120,22 @@
             seen: None,
             lease_call: LeaseCall::Idle,
             link: None,
-            next_link: 1,
+            next_link_id: 1,
             candidates: VecDeque::new(),
-            lost_address: None,
+            lost_relay_address: None,
             next_candidate: now,
             next_lease_read: start,
-            next_current_read: start + head_start,
-            next_beat: now,
-            next_loads: now,
+            next_current_read: start + read_delay,
+            next_heartbeat: now,
+            next_load_broadcast: now,
             without_relay_since: now,
             stopping: false,
         }
     }
 
-    /// The call on the lease row failed. A write whose reply is lost may have
-    /// taken effect; the next read, or the next write's refusal, tells.
+    /// Handles a failed read or write of the lease row. A write whose reply was
+    /// lost may have taken effect; the next read, or the refusal of the next
+    /// write, shows whether it did.
     pub(super) fn on_lease_call_failed(&mut self) {
         self.lease_call = LeaseCall::Idle;
     }
@@ -152,25 +158,26 @@
                     self.read_lease_if_due(effects);
                     self.read_current_if_due(self.settings.poll_interval.max(window), effects);
                 }
-                self.beat(effects);
+                self.send_heartbeat_if_due(effects);
             }
-            ZoneRole::Seeking => self.seek(effects),
+            ZoneRole::Seeking => self.tick_seeking(effects),
         }
-        self.give_up_silent(effects);
-        self.tend_peers(effects);
-        if self.at.now >= self.zone.next_loads {
-            let scale = (self.zone.membership.size / LOADS_ZONE_SIZE).max(1);
-            self.zone.next_loads = self.at.now + LOADS_EVERY * scale.saturating_pow(2);
+        self.close_silent_link(effects);
+        self.maintain_peers(effects);
+        if self.at.now >= self.zone.next_load_broadcast {
+            let scale = (self.zone.membership.size / SMALL_ZONE_SIZE).max(1);
+            self.zone.next_load_broadcast =
+                self.at.now + LOAD_BROADCAST_INTERVAL * scale.saturating_pow(2);
             self.broadcast_loads(effects);
         }
     }
 
-    fn seek(&mut self, effects: &mut Vec<ControlEffect>) {
+    fn tick_seeking(&mut self, effects: &mut Vec<ControlEffect>) {
         let without = self
             .at
             .now
             .saturating_duration_since(self.zone.without_relay_since);
-        self.zone.fallback_active = without >= FALL_BACK_AFTER;
+        self.zone.fallback_active = without >= FALLBACK_DELAY;
         let window = read_spread_window(&self.settings, self.zone.membership.size);
         self.read_lease_if_due(effects);
         let due = self.read_current_if_due(self.settings.poll_interval.max(window), effects);
@@ -192,14 +199,15 @@
         let jitter = CANDIDATE_RETRY_DELAY.mul_f64(self.rng.random());
         self.zone.next_candidate = self.at.now + CANDIDATE_RETRY_DELAY + jitter;
         if address == self.settings.address {
-            self.act(effects);
+            self.start_acting(effects);
         } else {
             self.connect(address, effects);
         }
     }
 
-    /// Starts to relay without a lease, and seeks the lease meanwhile.
-    fn act(&mut self, effects: &mut Vec<ControlEffect>) {
+    /// Starts to relay without a lease. The daemon keeps reading the lease row and
+    /// takes the lease when it can.
+    fn start_acting(&mut self, effects: &mut Vec<ControlEffect>) {
         self.zone.role = ZoneRole::Acting;
         self.zone.fallback_active = false;
         self.zone.next_lease_read = self.at.now;
@@ -210,30 +218,31 @@
         });
     }
 
-    /// Reads the `current` row at most every `pause`, backing off with jitter
-    /// while the platform fails. Returns whether it was time to.
+    /// Reads the `current` row at most once per `interval`, with exponential
+    /// backoff and jitter while the platform fails. Returns whether a read was due.
     pub(super) fn read_current_if_due(
         &mut self,
-        pause: Duration,
+        interval: Duration,
         effects: &mut Vec<ControlEffect>,
     ) -> bool {
         if self.at.now < self.zone.next_current_read {
             return false;
         }
-        let backoff = BACKOFF_LIMIT.min(pause * 2u32.saturating_pow(self.platform_failures.min(8)));
-        let pause = pause.max(backoff);
-        let jittered = if pause > self.settings.poll_interval {
-            pause.mul_f64(0.5 + self.rng.random::<f64>())
+        let backoff =
+            MAX_READ_BACKOFF.min(interval * 2u32.saturating_pow(self.platform_failures.min(8)));
+        let interval = interval.max(backoff);
+        let jittered = if interval > self.settings.poll_interval {
+            interval.mul_f64(0.5 + self.rng.random::<f64>())
         } else {
-            pause
+            interval
         };
         self.zone.next_current_read = self.at.now + jittered;
         self.read_current(effects);
         true
     }
 
-    /// A planned stop: the lease is released and the peers sent on, so that
-    /// the zone does not wait for the lease to lapse.
+    /// Handles a planned stop: releases the lease and redirects the peers, so that
+    /// the zone does not wait for the lease to expire.
     pub(super) fn on_stopping(&mut self, effects: &mut Vec<ControlEffect>) {
         self.zone.stopping = true;
         if let Some(held) = self.zone.held.take() {
@@ -246,7 +255,7 @@
         }
         if self.zone.role.is_relay() {
             let next = self.current_membership().successors.first().cloned();
-            self.dismiss_peers(next, effects);
+            self.redirect_peers(next, effects);
         }
     }
 
