--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! Fakes around several reducers of one zone: an in-memory table with
-//! compare-and-set, outages and lost replies, and links that can go silent.
-//! Time moves in steps; nothing runs at the same time, so a schedule of
-//! faults always gives the same history.
+//! A simulated zone that runs several daemons' reducers against fakes: an
+//! in-memory table with compare-and-set, outages and lost replies, and links
+//! that can fail without closing. Time advances in steps and nothing runs
+//! concurrently, so the same schedule of faults always gives the same history.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -17,37 +17,38 @@
 use filbert_tree::{BranchPath, SettingsTree, VersionRecord};
 
 const COOP: &str = include_str!("../../../../examples/coop.toml");
-/// Length of one step.
+/// Simulated time per step.
 pub const STEP: Duration = Duration::from_millis(100);
-/// Steps after which a silent link is given up (the PING timeout).
-const SILENCE_STEPS: u64 = 20;
+/// The PING timeout, in steps: a link whose PINGs stay unanswered for longer is closed.
+const PING_TIMEOUT_STEPS: u64 = 20;
 
-/// What a test may do to the zone at a step.
+/// Faults and operator actions that a test can inject.
 #[derive(Clone, Copy, Debug)]
 pub enum ZoneFault {
     /// An operator accepts a new version.
-    Accept,
-    /// Kills daemon and starts it anew with nothing.
+    AcceptVersion,
+    /// Kills a daemon and restarts it at once without any state.
     Restart { daemon: usize },
-    /// Kills a daemon, which starts anew after this many steps; until then it
-    /// takes no connections.
+    /// Kills a daemon, which restarts without any state after `steps` and
+    /// accepts no connections until then.
     Down { daemon: usize, steps: u64 },
-    /// Freezes a daemon for this many steps.
+    /// Freezes a daemon for `steps`.
     Freeze { daemon: usize, steps: u64 },
-    /// The platform is down for this many steps.
+    /// Makes the platform fail every daemon's calls for `steps`.
     PlatformDown { steps: u64 },
-    /// From now on the platform's answers take this many steps longer, so that
-    /// they cross what happens on links meanwhile.
-    PlatformSlow { extra: u64 },
-    /// One daemon cannot reach the platform for this many steps.
-    PlatformCut { daemon: usize, steps: u64 },
-    /// The next writes take effect but their replies are lost.
+    /// Delays the platform's answers by `delay_steps` from now on, so that they
+    /// arrive after messages sent later on links.
+    PlatformDelay { delay_steps: u64 },
+    /// Cuts one daemon off from the platform for `steps`.
+    PlatformUnreachable { daemon: usize, steps: u64 },
+    /// Loses the replies to the next `count` lease writes, which take effect.
     LoseReplies { count: u32 },
-    /// A daemon's link to its relay goes silent for good; new ones work.
-    SilenceLink { daemon: usize },
-    /// A daemon's link carries no messages any more, though PINGs are
-    /// answered; new ones work.
-    StuckLink { daemon: usize },
+    /// Drops all traffic on a daemon's open links to relays, PINGs included. Links
+    /// opened later work.
+    BlackholeLink { daemon: usize },
+    /// Drops all messages on a daemon's open links to relays, while PINGs are
+    /// still answered. Links opened later work.
+    StallLink { daemon: usize },
 }
 
 /// A link between a daemon and a relay.
@@ -55,19 +56,19 @@
     from: usize,
     to: usize,
     peer: u64,
-    silent: bool,
-    stuck: bool,
-    silent_steps: u64,
+    blackholed: bool,
+    stalled: bool,
+    unanswered_steps: u64,
 }
 
 impl FakeLink {
-    /// Whether messages arrive.
-    fn carries(&self) -> bool {
-        !self.silent && !self.stuck
+    /// Whether messages sent on the link arrive.
+    fn delivers_messages(&self) -> bool {
+        !self.blackholed && !self.stalled
     }
 }
 
-/// One daemon's reducer and what is on its way to it.
+/// One daemon's reducer and the events on their way to it.
 pub struct FakeDaemon {
     pub control: ControlState,
     incarnation: u64,
@@ -75,13 +76,13 @@
     inbox: VecDeque<(u64, ControlEvent)>,
     frozen_until: u64,
     down_until: u64,
-    cut_until: u64,
-    /// Versions applied, over all incarnations.
+    platform_unreachable_until: u64,
+    /// The versions applied, in order, over all incarnations.
     pub applied: Vec<u64>,
 }
 
 impl FakeDaemon {
-    /// Takes the events that have arrived by `step`, in order.
+    /// Removes and returns the events that have arrived by `step`, in order.
     fn take_arrived(&mut self, step: u64) -> Vec<ControlEvent> {
         let inbox = std::mem::take(&mut self.inbox);
         let (arrived, waiting): (Vec<_>, Vec<_>) =
@@ -91,7 +92,7 @@
     }
 }
 
-/// A zone of daemons over a fake table.
+/// A zone of daemons that share a fake platform table.
 pub struct FakeZone {
     pub daemons: Vec<FakeDaemon>,
     start: ClockReading,
@@ -100,12 +101,13 @@
     pub current: u64,
     down_until: u64,
     lose_replies: u32,
-    slow_by: u64,
+    platform_delay: u64,
     links: BTreeMap<(usize, u64), FakeLink>,
     next_peer: u64,
-    /// Who took the lease under each token: daemon and incarnation.
-    pub holders: BTreeMap<u64, BTreeSet<(usize, u64)>>,
-    /// Platform reads and writes made.
+    /// The daemons, with their incarnations, that took the lease under each token.
+    pub lease_holders: BTreeMap<u64, BTreeSet<(usize, u64)>>,
+    /// The number of platform reads and writes made, without lease writes whose reply
+    /// was lost.
     pub platform_calls: u64,
 }
 
@@ -138,20 +140,20 @@
             current: 1,
             down_until: 0,
             lose_replies: 0,
-            slow_by: 0,
+            platform_delay: 0,
             links: BTreeMap::new(),
             next_peer: 1,
-            holders: BTreeMap::new(),
+            lease_holders: BTreeMap::new(),
             platform_calls: 0,
         };
         for index in 0..size {
-            let daemon = zone.fresh(index, index as u64 + 1);
+            let daemon = zone.new_daemon(index, index as u64 + 1);
             zone.daemons.push(daemon);
         }
         zone
     }
 
-    fn fresh(&self, index: usize, incarnation: u64) -> FakeDaemon {
+    fn new_daemon(&self, index: usize, incarnation: u64) -> FakeDaemon {
         let settings = ControlSettings::new(&format!("d{index}"), "zone-a", &address(index))
             .incarnation(incarnation);
         FakeDaemon {
@@ -160,7 +162,7 @@
             inbox: VecDeque::new(),
             frozen_until: 0,
             down_until: 0,
-            cut_until: 0,
+            platform_unreachable_until: 0,
             applied: Vec::new(),
         }
     }
@@ -175,7 +177,7 @@
 
     pub fn inject(&mut self, fault: ZoneFault) {
         match fault {
-            ZoneFault::Accept => self.current += 1,
+            ZoneFault::AcceptVersion => self.current += 1,
             ZoneFault::Restart { daemon } => self.restart(daemon),
             ZoneFault::Down { daemon, steps } => {
                 self.restart(daemon);
@@ -185,42 +187,42 @@
                 self.daemons[daemon].frozen_until = self.step + steps;
             }
             ZoneFault::PlatformDown { steps } => self.down_until = self.step + steps,
-            ZoneFault::PlatformSlow { extra } => self.slow_by = extra,
-            ZoneFault::PlatformCut { daemon, steps } => {
-                self.daemons[daemon].cut_until = self.step + steps;
+            ZoneFault::PlatformDelay { delay_steps } => self.platform_delay = delay_steps,
+            ZoneFault::PlatformUnreachable { daemon, steps } => {
+                self.daemons[daemon].platform_unreachable_until = self.step + steps;
             }
             ZoneFault::LoseReplies { count } => self.lose_replies = count,
-            ZoneFault::SilenceLink { daemon } => {
+            ZoneFault::BlackholeLink { daemon } => {
                 for link in self.links.values_mut().filter(|link| link.from == daemon) {
-                    link.silent = true;
+                    link.blackholed = true;
                 }
             }
-            ZoneFault::StuckLink { daemon } => {
+            ZoneFault::StallLink { daemon } => {
                 for link in self.links.values_mut().filter(|link| link.from == daemon) {
-                    link.stuck = true;
+                    link.stalled = true;
                 }
             }
         }
     }
 
     fn restart(&mut self, index: usize) {
-        let ended: Vec<(usize, u64)> = self
+        let closed: Vec<(usize, u64)> = self
             .links
             .iter()
             .filter(|(_, link)| link.from == index || link.to == index)
             .map(|(key, _)| *key)
             .collect();
-        for key in ended {
-            self.end_link(key);
+        for key in closed {
+            self.close_link(key);
         }
         let incarnation = self.daemons[index].incarnation + 1_000;
         let applied = std::mem::take(&mut self.daemons[index].applied);
-        self.daemons[index] = self.fresh(index, incarnation);
+        self.daemons[index] = self.new_daemon(index, incarnation);
         self.daemons[index].applied = applied;
     }
 
-    /// Ends a link on both sides.
-    fn end_link(&mut self, key: (usize, u64)) {
+    /// Closes a link and reports the closure to both sides.
+    fn close_link(&mut self, key: (usize, u64)) {
         if let Some(link) = self.links.remove(&key) {
             let down = ControlEvent::LinkDown { link: key.1 };
             self.daemons[link.from].inbox.push_back((0, down));
@@ -229,10 +231,11 @@
         }
     }
 
-    /// Runs one step: what is on its way arrives, then a tick.
+    /// Runs one step. Each daemon that is neither frozen nor down receives its
+    /// arrived events and then a tick.
     pub fn run_step(&mut self) {
         self.step += 1;
-        self.check_links();
+        self.close_unanswered_links();
         for index in 0..self.daemons.len() {
             let daemon = &self.daemons[index];
             if daemon.frozen_until > self.step || daemon.down_until > self.step {
@@ -251,20 +254,26 @@
         }
     }
 
-    /// Ends links whose other end is frozen or which went silent, as the PING
-    /// timeout does.
-    fn check_links(&mut self) {
+    /// Closes links whose PINGs have timed out, since the relay is frozen or the
+    /// link drops all traffic.
+    fn close_unanswered_links(&mut self) {
         let step = self.step;
-        let mut ended = Vec::new();
+        let mut closed = Vec::new();
         for (key, link) in &mut self.links {
-            let unanswered = link.silent || self.daemons[link.to].frozen_until > step;
-            link.silent_steps = if unanswered { link.silent_steps + 1 } else { 0 };
-            if link.silent_steps > SILENCE_STEPS && self.daemons[link.from].frozen_until <= step {
-                ended.push(*key);
+            let unanswered = link.blackholed || self.daemons[link.to].frozen_until > step;
+            link.unanswered_steps = if unanswered {
+                link.unanswered_steps + 1
+            } else {
+                0
+            };
+            if link.unanswered_steps > PING_TIMEOUT_STEPS
+                && self.daemons[link.from].frozen_until <= step
+            {
+                closed.push(*key);
             }
         }
-        for key in ended {
-            self.end_link(key);
+        for key in closed {
+            self.close_link(key);
         }
     }
 
@@ -285,31 +294,35 @@
                     object,
                     delta,
                 };
-                self.platform(index, PlatformStep::ReadCurrent, event);
+                self.answer_platform_call(index, PlatformStep::ReadCurrent, event);
             }
             ControlEffect::FetchVersion { number, .. } => {
                 let record = Arc::new(version(number));
                 let event = ControlEvent::VersionFetched { record, bytes: 1 };
-                self.platform(index, PlatformStep::FetchVersion, event);
+                self.answer_platform_call(index, PlatformStep::FetchVersion, event);
             }
             ControlEffect::ReadLease => {
                 let row = self.lease.clone();
-                self.platform(index, PlatformStep::Lease, ControlEvent::LeaseRead { row });
+                self.answer_platform_call(
+                    index,
+                    PlatformStep::Lease,
+                    ControlEvent::LeaseRead { row },
+                );
             }
             ControlEffect::WriteLease { expect, record } => self.write_lease(index, expect, record),
             ControlEffect::Connect { link, address } => self.connect(index, link, &address),
-            ControlEffect::Disconnect { link } => self.end_link((index, link)),
+            ControlEffect::Disconnect { link } => self.close_link((index, link)),
             ControlEffect::SendToRelay { link, message } => self.send_up(index, link, message),
             ControlEffect::SendToPeers { peers, message } => {
                 for peer in peers {
-                    self.send_peer(index, peer, &message);
+                    self.send_to_peer(index, peer, &message);
                 }
             }
             ControlEffect::ClosePeer { peer } => {
-                // A stuck link is not told that it was dropped either.
-                let key = self.link_of(index, peer);
-                if let Some(key) = key.filter(|key| !self.links[key].stuck) {
-                    self.end_link(key);
+                // The peer does not learn that a stalled link was closed either.
+                let key = self.find_link(index, peer);
+                if let Some(key) = key.filter(|key| !self.links[key].stalled) {
+                    self.close_link(key);
                 }
             }
             ControlEffect::Apply { number, .. } => self.daemons[index].applied.push(number),
@@ -317,7 +330,7 @@
                 change: StateChange::LeaseTaken { token },
             } => {
                 let incarnation = self.daemons[index].incarnation;
-                self.holders
+                self.lease_holders
                     .entry(token)
                     .or_default()
                     .insert((index, incarnation));
@@ -327,35 +340,35 @@
     }
 
     fn reaches_platform(&self, index: usize) -> bool {
-        self.down_until <= self.step && self.daemons[index].cut_until <= self.step
+        self.down_until <= self.step && self.daemons[index].platform_unreachable_until <= self.step
     }
 
-    fn platform(&mut self, index: usize, step: PlatformStep, event: ControlEvent) {
+    fn answer_platform_call(&mut self, index: usize, step: PlatformStep, event: ControlEvent) {
         self.platform_calls += 1;
         let event = if self.reaches_platform(index) {
             event
         } else {
             ControlEvent::PlatformFailed { step }
         };
-        let due = self.step + self.slow_by;
+        let due = self.step + self.platform_delay;
         self.daemons[index].inbox.push_back((due, event));
     }
 
     fn write_lease(&mut self, index: usize, expect: WriteCondition, record: LeaseRecord) {
         let step = PlatformStep::Lease;
         if !self.reaches_platform(index) {
-            self.platform(index, step, ControlEvent::Tick);
+            self.answer_platform_call(index, step, ControlEvent::Tick);
             return;
         }
         let version = self.lease.as_ref().map(|row| row.version);
-        let holds = match (expect, version) {
+        let condition_met = match (expect, version) {
             (WriteCondition::Any, _) | (WriteCondition::Absent, None) => true,
             (WriteCondition::Version(expected), Some(version)) => expected == version,
             _ => false,
         };
-        if !holds {
+        if !condition_met {
             let row = self.lease.clone();
-            self.platform(index, step, ControlEvent::LeaseWriteRefused { row });
+            self.answer_platform_call(index, step, ControlEvent::LeaseWriteRefused { row });
             return;
         }
         let row = LeaseRow {
@@ -368,7 +381,7 @@
             let failed = ControlEvent::PlatformFailed { step };
             self.daemons[index].inbox.push_back((0, failed));
         } else {
-            self.platform(index, step, ControlEvent::LeaseWritten { row });
+            self.answer_platform_call(index, step, ControlEvent::LeaseWritten { row });
         }
     }
 
@@ -387,16 +400,16 @@
             from,
             to,
             peer,
-            silent: false,
-            stuck: false,
-            silent_steps: 0,
+            blackholed: false,
+            stalled: false,
+            unanswered_steps: 0,
         };
         self.links.insert((from, link), opened);
     }
 
     fn send_up(&mut self, index: usize, link: u64, message: PeerMessage) {
         let open = self.links.get(&(index, link));
-        if let Some(open) = open.filter(|link| link.carries()) {
+        if let Some(open) = open.filter(|link| link.delivers_messages()) {
             let event = ControlEvent::PeerMessageReceived {
                 peer: open.peer,
                 message,
@@ -405,19 +418,19 @@
         }
     }
 
-    fn link_of(&self, relay: usize, peer: u64) -> Option<(usize, u64)> {
+    fn find_link(&self, relay: usize, peer: u64) -> Option<(usize, u64)> {
         self.links
             .iter()
             .find(|(_, link)| link.to == relay && link.peer == peer)
             .map(|(key, _)| *key)
     }
 
-    fn send_peer(&mut self, index: usize, peer: u64, message: &RelayMessage) {
-        let Some(key) = self.link_of(index, peer) else {
+    fn send_to_peer(&mut self, index: usize, peer: u64, message: &RelayMessage) {
+        let Some(key) = self.find_link(index, peer) else {
             return;
         };
         let open = &self.links[&key];
-        if open.carries() {
+        if open.delivers_messages() {
             let event = ControlEvent::RelayMessageReceived {
                 link: key.1,
                 message: message.clone(),
@@ -426,7 +439,7 @@
         }
     }
 
-    /// Daemons, not frozen now, that act as holder of the lease.
+    /// The daemons that consider themselves the leader and are neither frozen nor down.
     pub fn leaders(&self) -> Vec<usize> {
         (0..self.daemons.len())
             .filter(|index| self.daemons[*index].frozen_until <= self.step)
@@ -435,7 +448,7 @@
             .collect()
     }
 
-    /// The daemons that are not down now.
+    /// The daemons that are not down, with their indices.
     pub fn running(&self) -> impl Iterator<Item = (usize, &FakeDaemon)> {
         let running = |(_, daemon): &(usize, &FakeDaemon)| daemon.down_until <= self.step;
         self.daemons.iter().enumerate().filter(running)
