--- a/crates/daemon/src/control/peers.rs
+++ b/crates/daemon/src/control/peers.rs
@@ -41,11 +41,12 @@
 #[derive(Debug, Default)]
 pub(super) struct PeerTable {
     links: BTreeMap<u64, PeerEntry>,
-    /// Daemons that have no link although their targets may be known, and since when.
+    /// Daemons without a link whose targets may still be known, and since when.
     unlinked: BTreeMap<String, Instant>,
     /// Whether the zone's digest row is out of date.
     pub(super) digest_dirty: bool,
     digest_written_at: Option<Instant>,
+    /// The membership last broadcast to the peers.
     sent_membership: ZoneMembership,
     membership_sent_at: Option<Instant>,
 }
--- a/crates/daemon/src/control/version.rs
+++ b/crates/daemon/src/control/version.rs
@@ -14,7 +14,7 @@
 /// Maximum number of recent versions kept as bases for deltas.
 const MAX_DELTA_BASES: usize = 8;
 
-/// A valid version that is not applied until its services have targets.
+/// A valid version that waits for its services' targets before it is applied.
 #[derive(Debug)]
 struct StagedVersion {
     record: Arc<VersionRecord>,
@@ -166,8 +166,8 @@
         }
     }
 
-    /// Raises the floor, the lowest version that this daemon may apply, to the
-    /// highest number known from the `current` row, the zone's relay or its peers.
+    /// Raises the floor, the lowest version that this daemon may apply, to
+    /// `number`, a version named by the `current` row, the zone's relay or a peer.
     ///
     /// The floor keeps a restarted daemon from going back to an older version.
     /// A daemon keeps no state over a restart, so a relay that lags behind
--- a/crates/daemon/src/control/zone.rs
+++ b/crates/daemon/src/control/zone.rs
@@ -80,6 +80,8 @@
     pub(super) relay_reaches_platform: bool,
     /// Whether this daemon writes its own rows, after [`FALLBACK_DELAY`] without a relay.
     pub(super) fallback_active: bool,
+    /// The zone's membership: as the relay last reported it or, on a relay, with
+    /// the size last broadcast.
     pub(super) membership: ZoneMembership,
     pub(super) held: Option<HeldLease>,
     pub(super) seen: Option<SeenLease>,
@@ -90,6 +92,7 @@
     pub(super) candidates: VecDeque<String>,
     /// The address of the relay that was lost last.
     pub(super) lost_relay_address: Option<String>,
+    /// When the next candidate may be tried.
     pub(super) next_candidate: Instant,
     pub(super) next_lease_read: Instant,
     pub(super) next_current_read: Instant,
