--- a/crates/daemon/src/control/directory.rs
+++ b/crates/daemon/src/control/directory.rs
@@ -161,8 +161,8 @@
             self.pending_loads.extend(change.loads);
             return;
         }
-        self.send_behind_hello(PeerMessage::Targets(change.clone()), effects);
-        self.tell_peers_of(&change, None, effects);
+        self.send_after_hello(PeerMessage::Targets(change.clone()), effects);
+        self.broadcast_target_change(&change, None, effects);
     }
 
     /// Sends the loads that changed since the last batch to the relay, and to the
@@ -177,8 +177,8 @@
                 .collect(),
             ..TargetChange::default()
         };
-        self.send_behind_hello(PeerMessage::Targets(change.clone()), effects);
-        self.tell_peers_of(&change, None, effects);
+        self.send_after_hello(PeerMessage::Targets(change.clone()), effects);
+        self.broadcast_target_change(&change, None, effects);
     }
 
     /// Removes this host's targets that have not announced themselves within the
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -288,7 +288,7 @@
                 number,
                 object,
                 delta,
-            } => self.on_current(number, object, delta, &mut effects),
+            } => self.on_current_read(number, object, delta, &mut effects),
             ControlEvent::DeltaFetched {
                 base,
                 number,
@@ -363,7 +363,9 @@
     fn publishes_own_rows(&self) -> bool {
         match self.settings.mode {
             DistributionMode::Direct => true,
-            DistributionMode::Relay => self.zone.role == ZoneRole::Seeking && self.zone.fell_back,
+            DistributionMode::Relay => {
+                self.zone.role == ZoneRole::Seeking && self.zone.fallback_active
+            }
         }
     }
 
@@ -371,11 +373,11 @@
         match step {
             PlatformStep::ReadCurrent => {
                 self.current_read_pending = false;
-                self.settle_floor(effects);
+                self.on_floor_known(effects);
             }
-            PlatformStep::FetchVersion => self.versions.fetch_failed(),
+            PlatformStep::FetchVersion => self.versions.on_fetch_failed(),
             PlatformStep::ReadTargets => self.target_scan_pending = false,
-            PlatformStep::Lease => self.zone.lease_call_failed(),
+            PlatformStep::Lease => self.zone.on_lease_call_failed(),
             PlatformStep::Write => {}
         }
         self.platform_failures = self.platform_failures.saturating_add(1);
@@ -386,7 +388,7 @@
                     serving: self.versions.applied,
                 },
             });
-            self.tell_platform_state(effects);
+            self.broadcast_platform_state(effects);
         }
     }
 
@@ -397,7 +399,7 @@
             effects.push(ControlEffect::RecordStateChange {
                 change: StateChange::PlatformBack,
             });
-            self.tell_platform_state(effects);
+            self.broadcast_platform_state(effects);
         }
     }
 
