--- a/crates/daemon/src/control/directory.rs
+++ b/crates/daemon/src/control/directory.rs
@@ -80,7 +80,7 @@
     /// Takes a change of other hosts' targets into the zone map. `own` is this
     /// daemon's id, whose targets it knows better itself.
     pub(super) fn absorb(&mut self, change: &TargetChange, own: &str) {
-        if change.reset {
+        if change.is_snapshot {
             self.zone.clear();
             self.direct.clear();
         }
--- a/crates/daemon/src/control/lease.rs
+++ b/crates/daemon/src/control/lease.rs
@@ -202,7 +202,7 @@
         });
         self.tell_platform_state(effects);
         self.zone.next_current_read = self.at.now;
-        self.read_current_paced(self.settings.poll, effects);
+        self.read_current_paced(self.settings.poll_interval, effects);
         self.check_lease(effects);
     }
 
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -321,7 +321,7 @@
 
     /// Every daemon for itself: polls the platform and keeps its own rows.
     fn tick_direct(&mut self, effects: &mut Vec<ControlEffect>) {
-        if self.read_current_paced(self.settings.poll, effects) {
+        if self.read_current_paced(self.settings.poll_interval, effects) {
             self.read_targets(effects);
         }
         self.refresh_rows(effects);
--- a/crates/daemon/src/control/peers.rs
+++ b/crates/daemon/src/control/peers.rs
@@ -93,11 +93,11 @@
                 self.on_report(peer, applied, rejected, effects);
             }
             PeerMessage::Targets(change) => self.on_peer_targets(peer, &change, effects),
-            PeerMessage::NeedWhole => self.send_whole(peer, effects),
+            PeerMessage::RequestFullVersion => self.send_whole(peer, effects),
             PeerMessage::Moved { relay } => self.on_moved(relay, effects),
-            PeerMessage::Beat => {
+            PeerMessage::Heartbeat => {
                 let newest = self.versions.newest_number();
-                send(vec![peer], RelayMessage::Beat { newest }, effects);
+                send(vec![peer], RelayMessage::Heartbeat { newest }, effects);
             }
         }
     }
@@ -143,7 +143,7 @@
         });
         send(vec![peer], welcome, effects);
         let targets = TargetChange {
-            reset: true,
+            is_snapshot: true,
             upserts: self.directory.zone_records(),
             ..TargetChange::default()
         };
@@ -418,7 +418,7 @@
                     number: newest.number,
                     delta: TreeDelta::between(&record.tree, &newest.tree),
                 },
-                None => VersionUpdate::Whole((*newest).clone()),
+                None => VersionUpdate::Full((*newest).clone()),
             };
             send(peers, RelayMessage::Version(update), effects);
         }
@@ -426,7 +426,7 @@
 
     fn send_whole(&self, peer: u64, effects: &mut Vec<ControlEffect>) {
         if let Some(newest) = &self.versions.newest {
-            let update = VersionUpdate::Whole((**newest).clone());
+            let update = VersionUpdate::Full((**newest).clone());
             send(vec![peer], RelayMessage::Version(update), effects);
         }
     }
--- a/crates/daemon/src/control/settings.rs
+++ b/crates/daemon/src/control/settings.rs
@@ -19,7 +19,7 @@
     /// How versions and targets reach this daemon.
     pub mode: DistributionMode,
     /// How often the version in force is read, by a relay or in direct mode.
-    pub poll: Duration,
+    pub poll_interval: Duration,
     /// A target not heard from for this long is dropped.
     pub target_expiry: Duration,
     /// How often rows written in direct mode are refreshed.
@@ -45,7 +45,7 @@
             address: address.to_owned(),
             incarnation: 1,
             mode: DistributionMode::Relay,
-            poll: Duration::from_millis(200),
+            poll_interval: Duration::from_millis(200),
             target_expiry: Duration::from_secs(3),
             refresh: Duration::from_secs(1),
             lease_time: Duration::from_secs(3),
@@ -62,12 +62,12 @@
         ControlSettings {
             incarnation,
             mode: settings.distribution,
-            poll: settings.timeouts.poll(),
+            poll_interval: settings.timeouts.poll_interval(),
             target_expiry: settings.timeouts.target_expiry(),
-            lease_time: settings.relay.lease(),
+            lease_time: settings.relay.lease_duration(),
             zone_reads_per_second: settings.relay.zone_reads_per_second,
             zone_size_hint: settings.relay.zone_size_hint,
-            stage_limit: settings.timeouts.stage(),
+            stage_limit: settings.timeouts.staging_timeout(),
             ..ControlSettings::new(&settings.id, &settings.zone, &address.to_string())
         }
     }
--- a/crates/daemon/src/control/uplink.rs
+++ b/crates/daemon/src/control/uplink.rs
@@ -82,7 +82,7 @@
     pub(super) fn beat(&mut self, effects: &mut Vec<ControlEffect>) {
         if self.at.now >= self.zone.next_beat {
             self.zone.next_beat = self.at.now + BEAT_EVERY;
-            self.send_up(PeerMessage::Beat, effects);
+            self.send_up(PeerMessage::Heartbeat, effects);
         }
     }
 
@@ -153,7 +153,7 @@
             }
             RelayMessage::Zone(shape) => self.zone.shape = shape,
             RelayMessage::Platform { reachable } => self.on_relay_platform(reachable, effects),
-            RelayMessage::Beat { newest } => self.on_relay_beat(newest, effects),
+            RelayMessage::Heartbeat { newest } => self.on_relay_heartbeat(newest, effects),
             RelayMessage::Goodbye { relay } => self.on_goodbye(relay, effects),
         }
     }
@@ -246,9 +246,9 @@
     }
 
     /// Asks for the newest version when a beat tells of one that did not come.
-    fn on_relay_beat(&mut self, newest: u64, effects: &mut Vec<ControlEffect>) {
+    fn on_relay_heartbeat(&mut self, newest: u64, effects: &mut Vec<ControlEffect>) {
         if newest > self.versions.newest_number() {
-            self.send_up(PeerMessage::NeedWhole, effects);
+            self.send_up(PeerMessage::RequestFullVersion, effects);
         }
     }
 
--- a/crates/daemon/src/control/version.rs
+++ b/crates/daemon/src/control/version.rs
@@ -176,16 +176,16 @@
     pub(super) fn settle_floor(&mut self, effects: &mut Vec<ControlEffect>) {
         self.versions.floor_known = true;
         if let Some(record) = self.versions.awaiting_floor.take() {
-            self.on_update(VersionUpdate::Whole(record), effects);
+            self.on_update(VersionUpdate::Full(record), effects);
         }
     }
 
     pub(super) fn on_update(&mut self, update: VersionUpdate, effects: &mut Vec<ControlEffect>) {
         match update {
-            VersionUpdate::Whole(record) if !self.versions.floor_known => {
+            VersionUpdate::Full(record) if !self.versions.floor_known => {
                 self.versions.awaiting_floor = Some(record);
             }
-            VersionUpdate::Whole(record) => {
+            VersionUpdate::Full(record) => {
                 let bytes = VersionCodec::encode(&record).len();
                 self.on_version(&Arc::new(record), bytes, effects);
             }
@@ -195,7 +195,7 @@
                 delta,
             } => {
                 let Some(record) = self.versions.rebuild(base, number, &delta) else {
-                    self.send_up(PeerMessage::NeedWhole, effects);
+                    self.send_up(PeerMessage::RequestFullVersion, effects);
                     return;
                 };
                 let bytes = VersionCodec::encode_delta(&delta).len();
--- a/crates/daemon/src/control/zone.rs
+++ b/crates/daemon/src/control/zone.rs
@@ -139,17 +139,17 @@
         match self.zone.role {
             ZoneRole::Leader => {
                 self.renew_lease(effects);
-                self.read_current_paced(self.settings.poll, effects);
+                self.read_current_paced(self.settings.poll_interval, effects);
             }
             ZoneRole::Acting => {
                 self.read_lease_paced(effects);
-                self.read_current_paced(self.settings.poll, effects);
+                self.read_current_paced(self.settings.poll_interval, effects);
             }
             ZoneRole::Follower => {
                 if !self.zone.relay_reaches_platform {
                     let window = spread_window(&self.settings, self.zone.shape.size);
                     self.read_lease_paced(effects);
-                    self.read_current_paced(self.settings.poll.max(window), effects);
+                    self.read_current_paced(self.settings.poll_interval.max(window), effects);
                 }
                 self.beat(effects);
             }
@@ -172,7 +172,7 @@
         self.zone.fell_back = without >= FALL_BACK_AFTER;
         let window = spread_window(&self.settings, self.zone.shape.size);
         self.read_lease_paced(effects);
-        let due = self.read_current_paced(self.settings.poll.max(window), effects);
+        let due = self.read_current_paced(self.settings.poll_interval.max(window), effects);
         if due && self.zone.fell_back {
             self.read_targets(effects);
             self.refresh_rows(effects);
@@ -221,7 +221,7 @@
         }
         let backoff = BACKOFF_LIMIT.min(pause * 2u32.saturating_pow(self.platform_failures.min(8)));
         let pause = pause.max(backoff);
-        let jittered = if pause > self.settings.poll {
+        let jittered = if pause > self.settings.poll_interval {
             pause.mul_f64(0.5 + self.rng.random::<f64>())
         } else {
             pause
--- a/crates/daemon/src/counters.rs
+++ b/crates/daemon/src/counters.rs
@@ -97,7 +97,7 @@
     }
 
     /// Counts one proxied call of `service`.
-    pub fn call(&self, service: &str, outcome: CallOutcome) {
+    pub fn record_call(&self, service: &str, outcome: CallOutcome) {
         self.calls.add(
             1,
             &[
@@ -108,47 +108,47 @@
     }
 
     /// Counts an applied version.
-    pub fn version_applied(&self) {
+    pub fn record_applied_version(&self) {
         self.versions_applied.add(1, &[]);
     }
 
     /// Counts a version refused as invalid.
-    pub fn version_rejected(&self) {
+    pub fn record_rejected_version(&self) {
         self.versions_rejected.add(1, &[]);
     }
 
     /// Counts a failed platform call.
-    pub fn platform_failure(&self) {
+    pub fn record_platform_failure(&self) {
         self.platform_failures.add(1, &[]);
     }
 
     /// Counts configuration bytes received.
-    pub fn control_bytes(&self, bytes: usize) {
+    pub fn record_control_bytes(&self, bytes: usize) {
         self.control_bytes.add(bytes as u64, &[]);
     }
 
     /// Counts bytes of messages received on links between daemons.
-    pub fn link_received(&self, bytes: usize) {
+    pub fn record_link_bytes_received(&self, bytes: usize) {
         self.link_bytes_received.add(bytes as u64, &[]);
     }
 
     /// Counts bytes of messages sent on links between daemons.
-    pub fn link_sent(&self, bytes: usize) {
+    pub fn record_link_bytes_sent(&self, bytes: usize) {
         self.link_bytes_sent.add(bytes as u64, &[]);
     }
 
     /// Counts one read of the platform's table or object store.
-    pub fn platform_read(&self) {
+    pub fn record_platform_read(&self) {
         self.platform_reads.add(1, &[]);
     }
 
     /// Counts one write to the platform's table.
-    pub fn platform_write(&self) {
+    pub fn record_platform_write(&self) {
         self.platform_writes.add(1, &[]);
     }
 
     /// Counts a lease taken or lost by this daemon.
-    pub fn lease_changed(&self) {
+    pub fn record_lease_change(&self) {
         self.lease_changes.add(1, &[]);
     }
 
--- a/crates/daemon/src/links.rs
+++ b/crates/daemon/src/links.rs
@@ -16,7 +16,7 @@
 
 use crate::control::ControlEvent;
 use crate::counters::DaemonCounters;
-use crate::messages::{FrameError, FrameReader, PeerMessage, RelayMessage};
+use crate::messages::{FrameDecoder, FrameError, PeerMessage, RelayMessage};
 
 /// Frames that may wait on one link; a peer that falls this far behind is
 /// dropped and links anew, so that one slow peer cannot hold memory.
@@ -262,13 +262,13 @@
     F: FnMut(M) -> Fut,
     Fut: std::future::Future<Output = Result<(), mpsc::error::SendError<ControlEvent>>>,
 {
-    let mut reader = FrameReader::default();
+    let mut reader = FrameDecoder::default();
     while let Some(chunk) = body.data().await {
         let chunk = chunk?;
-        counters.link_received(chunk.len());
+        counters.record_link_bytes_received(chunk.len());
         let _ = body.flow_control().release_capacity(chunk.len());
         reader.push(&chunk);
-        while let Some(message) = reader.take().map_err(LinkError::Frame)? {
+        while let Some(message) = reader.decode_next().map_err(LinkError::Frame)? {
             if deliver(message).await.is_err() {
                 return Ok(());
             }
@@ -283,7 +283,7 @@
     counters: &DaemonCounters,
 ) -> Result<(), LinkError> {
     while let Some(mut frame) = queue.recv().await {
-        counters.link_sent(frame.len());
+        counters.record_link_bytes_sent(frame.len());
         while !frame.is_empty() {
             outgoing.reserve_capacity(frame.len());
             let granted = capacity(&mut outgoing).await?;
--- a/crates/daemon/src/messages.rs
+++ b/crates/daemon/src/messages.rs
@@ -21,11 +21,11 @@
     /// The targets on the peer's host changed.
     Targets(TargetChange),
     /// The last delta did not fit; send the whole version.
-    NeedWhole,
+    RequestFullVersion,
     /// The peer leaves for another relay, which holds the lease.
     Moved { relay: String },
     /// Nothing changed; the peer is alive.
-    Beat,
+    Heartbeat,
 }
 
 /// Who a peer is and what it already has.
@@ -59,7 +59,7 @@
     /// Whether the relay reaches the platform.
     Platform { reachable: bool },
     /// The answer to a peer's beat: the newest version the relay has.
-    Beat { newest: u64 },
+    Heartbeat { newest: u64 },
     /// The relay is going away; link to the one named, if any.
     Goodbye { relay: Option<String> },
 }
@@ -91,7 +91,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum VersionUpdate {
     /// The whole version.
-    Whole(VersionRecord),
+    Full(VersionRecord),
     /// The steps from a version the peer acknowledged.
     Delta {
         /// The version the steps start from.
@@ -107,7 +107,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetChange {
     /// Set when `upserts` is everything there is.
-    pub reset: bool,
+    pub is_snapshot: bool,
     /// Targets that joined or changed.
     pub upserts: Vec<TargetRecord>,
     /// Addresses of targets that are gone.
@@ -120,12 +120,15 @@
     /// Whether the change says nothing.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        !self.reset && self.upserts.is_empty() && self.removed.is_empty() && self.loads.is_empty()
+        !self.is_snapshot
+            && self.upserts.is_empty()
+            && self.removed.is_empty()
+            && self.loads.is_empty()
     }
 }
 
 /// Largest frame either side accepts, in bytes.
-pub const FRAME_LIMIT: usize = 32 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 32 * 1024 * 1024;
 /// Bytes of the length that precedes each frame's body.
 const LENGTH_BYTES: usize = 4;
 
@@ -146,7 +149,7 @@
 /// Why a link's bytes are not messages; the link is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// The frame's length is over [`FRAME_LIMIT`].
+    /// The frame's length is over [`MAX_FRAME_BYTES`].
     TooLong,
     /// The body is not a message.
     Undecodable,
@@ -154,11 +157,11 @@
 
 /// Cuts a byte stream into messages.
 #[derive(Debug, Default)]
-pub struct FrameReader {
+pub struct FrameDecoder {
     buffer: BytesMut,
 }
 
-impl FrameReader {
+impl FrameDecoder {
     /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
@@ -168,12 +171,12 @@
     ///
     /// # Errors
     /// [`FrameError`] when the bytes cannot be a message.
-    pub fn take<T: serde::de::DeserializeOwned>(&mut self) -> Result<Option<T>, FrameError> {
+    pub fn decode_next<T: serde::de::DeserializeOwned>(&mut self) -> Result<Option<T>, FrameError> {
         let Some(length) = self.buffer.first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
         };
         let length = u32::from_be_bytes(*length) as usize;
-        if length > FRAME_LIMIT {
+        if length > MAX_FRAME_BYTES {
             return Err(FrameError::TooLong);
         }
         if self.buffer.len() < LENGTH_BYTES + length {
--- a/crates/daemon/src/platform_calls.rs
+++ b/crates/daemon/src/platform_calls.rs
@@ -41,7 +41,7 @@
 
     /// Reads the `current` row.
     pub fn read_current(&self) {
-        self.counters.platform_read();
+        self.counters.record_platform_read();
         let platform = self.platform.clone();
         self.report(async move {
             let failed = ControlEvent::PlatformFailed {
@@ -100,7 +100,7 @@
         decode: fn(&[u8]) -> Result<T, String>,
         fetched: impl FnOnce(T, usize) -> ControlEvent + Send + 'static,
     ) {
-        self.counters.platform_read();
+        self.counters.record_platform_read();
         let platform = self.platform.clone();
         self.report(async move {
             let failed = ControlEvent::PlatformFailed {
@@ -121,7 +121,7 @@
 
     /// Scans the zone's target rows.
     pub fn read_targets(&self) {
-        self.counters.platform_read();
+        self.counters.record_platform_read();
         let platform = self.platform.clone();
         let prefix = StoreKey::zone_target_prefix(&self.zone);
         self.report(async move {
@@ -141,7 +141,7 @@
 
     /// Reads the zone's lease row.
     pub fn read_lease(&self) {
-        self.counters.platform_read();
+        self.counters.record_platform_read();
         let platform = self.platform.clone();
         let key = StoreKey::lease(&self.zone);
         self.report(async move {
@@ -158,7 +158,7 @@
 
     /// Writes the zone's lease row if `expect` holds.
     pub fn write_lease(&self, expect: WriteCondition, record: &LeaseRecord) {
-        self.counters.platform_write();
+        self.counters.record_platform_write();
         let platform = self.platform.clone();
         let key = StoreKey::lease(&self.zone);
         let value = serde_json::to_value(record).unwrap_or_default();
@@ -180,8 +180,8 @@
 
     /// Writes the zone's digest row unless a later lease's holder has.
     pub fn write_digest(&self, digest: ZoneDigest) {
-        self.counters.platform_read();
-        self.counters.platform_write();
+        self.counters.record_platform_read();
+        self.counters.record_platform_write();
         let platform = self.platform.clone();
         let key = StoreKey::digest(&self.zone);
         self.report(async move {
@@ -227,7 +227,7 @@
     /// Status and target rows are rewritten whole every refresh, so a write
     /// lost here is repaired by the next one.
     fn write_row(&self, key: String, value: serde_json::Value) {
-        self.counters.platform_write();
+        self.counters.record_platform_write();
         let platform = self.platform.clone();
         self.report(async move {
             let failed = ControlEvent::PlatformFailed {
--- a/crates/daemon/src/proxy/mod.rs
+++ b/crates/daemon/src/proxy/mod.rs
@@ -218,7 +218,7 @@
         }
         _ => attempt::run_call(shared, route, &call).await,
     };
-    shared.counters.call(&route.service, result.outcome);
+    shared.counters.record_call(&route.service, result.outcome);
     result.answer
 }
 
--- a/crates/daemon/src/runner.rs
+++ b/crates/daemon/src/runner.rs
@@ -134,13 +134,13 @@
         let counters: &DaemonCounters = &self.proxy.counters;
         match change {
             StateChange::Applied { bytes, .. } => {
-                counters.version_applied();
-                counters.control_bytes(*bytes);
+                counters.record_applied_version();
+                counters.record_control_bytes(*bytes);
             }
-            StateChange::Rejected { .. } => counters.version_rejected(),
-            StateChange::PlatformLost { .. } => counters.platform_failure(),
+            StateChange::Rejected { .. } => counters.record_rejected_version(),
+            StateChange::PlatformLost { .. } => counters.record_platform_failure(),
             StateChange::LeaseTaken { .. } | StateChange::LeaseLost { .. } => {
-                counters.lease_changed();
+                counters.record_lease_change();
             }
             _ => {}
         }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -83,7 +83,7 @@
 impl RelaySettings {
     /// The lease time.
     #[must_use]
-    pub fn lease(&self) -> Duration {
+    pub fn lease_duration(&self) -> Duration {
         Duration::from_millis(self.lease_ms)
     }
 
@@ -131,7 +131,7 @@
 impl DaemonTimeouts {
     /// The poll interval.
     #[must_use]
-    pub fn poll(&self) -> Duration {
+    pub fn poll_interval(&self) -> Duration {
         Duration::from_millis(self.poll_ms)
     }
 
@@ -143,7 +143,7 @@
 
     /// The stage limit.
     #[must_use]
-    pub fn stage(&self) -> Duration {
+    pub fn staging_timeout(&self) -> Duration {
         Duration::from_millis(self.stage_ms)
     }
 
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -109,7 +109,7 @@
         ControlSettings::from_daemon(&settings, incarnation(clock.as_ref())),
         clock.reading(),
     );
-    let tick = settings.timeouts.poll().min(TICK);
+    let tick = settings.timeouts.poll_interval().min(TICK);
     let control_loop = tokio::spawn(runner.run(control, received, tick));
     let admin_shared = AdminShared {
         events: events.clone(),
--- a/crates/daemon/tests/call_cases.rs
+++ b/crates/daemon/tests/call_cases.rs
@@ -5,7 +5,9 @@
 use std::time::{Duration, Instant};
 
 use filbert_daemon::limits::RetryBudget;
-use filbert_daemon::messages::{encode_frame, FrameError, FrameReader, PeerMessage, FRAME_LIMIT};
+use filbert_daemon::messages::{
+    encode_frame, FrameDecoder, FrameError, PeerMessage, MAX_FRAME_BYTES,
+};
 use filbert_daemon::proxy::policy::{
     is_repeatable, next_step, second_attempt_after, AttemptEnd, NextStep, RetryAllowance,
 };
@@ -205,23 +207,23 @@
 
 /// Bytes that arrive on a link in pieces, and what the reader makes of them.
 #[rstest]
-#[case::whole(vec![encode_frame(&PeerMessage::Beat).to_vec()], Ok(1))]
-#[case::byte_by_byte(encode_frame(&PeerMessage::NeedWhole).iter().map(|byte| vec![*byte]).collect(), Ok(1))]
-#[case::two_at_once(vec![[encode_frame(&PeerMessage::Beat), encode_frame(&PeerMessage::Beat)].concat()], Ok(2))]
-#[case::cut_short(vec![encode_frame(&PeerMessage::Beat)[..4].to_vec()], Ok(0))]
-#[case::too_long(vec![u32::try_from(FRAME_LIMIT + 1).unwrap_or(u32::MAX).to_be_bytes().to_vec()], Err(FrameError::TooLong))]
+#[case::whole(vec![encode_frame(&PeerMessage::Heartbeat).to_vec()], Ok(1))]
+#[case::byte_by_byte(encode_frame(&PeerMessage::RequestFullVersion).iter().map(|byte| vec![*byte]).collect(), Ok(1))]
+#[case::two_at_once(vec![[encode_frame(&PeerMessage::Heartbeat), encode_frame(&PeerMessage::Heartbeat)].concat()], Ok(2))]
+#[case::cut_short(vec![encode_frame(&PeerMessage::Heartbeat)[..4].to_vec()], Ok(0))]
+#[case::too_long(vec![u32::try_from(MAX_FRAME_BYTES + 1).unwrap_or(u32::MAX).to_be_bytes().to_vec()], Err(FrameError::TooLong))]
 #[case::not_a_message(vec![vec![0, 0, 0, 1, 0xff]], Err(FrameError::Undecodable))]
 #[case::trailing_bytes(vec![vec![0, 0, 0, 2, 5, 5]], Err(FrameError::Undecodable))]
 fn frames_are_taken_whole_or_refused(
     #[case] pieces: Vec<Vec<u8>>,
     #[case] expected: Result<usize, FrameError>,
 ) {
-    let mut reader = FrameReader::default();
+    let mut reader = FrameDecoder::default();
     let mut taken = Ok(0);
     for piece in pieces {
         reader.push(&piece);
         while let Ok(count) = taken {
-            match reader.take::<PeerMessage>() {
+            match reader.decode_next::<PeerMessage>() {
                 Ok(Some(_)) => taken = Ok(count + 1),
                 Ok(None) => break,
                 Err(error) => taken = Err(error),
--- a/crates/daemon/tests/control_cases.rs
+++ b/crates/daemon/tests/control_cases.rs
@@ -409,7 +409,7 @@
         zone: ZoneShape::default(),
     });
     let targets = RelayMessage::Targets(TargetChange {
-        reset: true,
+        is_snapshot: true,
         ..TargetChange::default()
     });
     for message in [welcome, targets] {
