--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,12 +1,12 @@
-//! filbertd: the daemon that runs beside every target. It proxies callers'
-//! calls to the targets of the right service in its availability zone, and
-//! applies accepted settings versions from the platform: whole, validated,
-//! never older than what it applied.
+//! filbertd: the daemon that runs on the host of each target. It proxies calls to
+//! targets of the requested service in its availability zone. It also applies settings
+//! versions from the platform. A version is validated and applied as a whole, and only
+//! if it is newer than the applied one.
 //!
-//! Layout: [`control`] is the one reducer over all control events and returns
-//! effects as data; [`runner`] executes them: platform calls through
-//! [`platform_calls`], links between daemons through [`links`]. [`proxy`] and
-//! [`admin`] are the HTTP edges, and [`shell`] starts it all.
+//! [`control`] is a reducer: it takes all control events and returns effects as data.
+//! [`runner`] executes the effects, with [`platform_calls`] for calls to the platform
+//! and [`links`] for connections between daemons. [`proxy`] and [`admin`] serve HTTP.
+//! [`shell`] starts the daemon and shuts it down.
 
 pub mod admin;
 pub use filbert_policy::clock;
--- a/crates/daemon/src/messages.rs
+++ b/crates/daemon/src/messages.rs
@@ -1,123 +1,126 @@
-//! What daemons of one zone say to each other over an `h2` stream, and its
-//! `bincode` encoding: a peer's messages to its relay, and the relay's to a peer.
+//! Messages between the daemons of an availability zone: from a peer to its relay, and
+//! from a relay to a peer. They are encoded with `bincode` and sent as frames, each
+//! with a length prefix, on an HTTP/2 stream.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use filbert_store::TargetRecord;
 use filbert_tree::{TreeDelta, VersionRecord};
 use serde::{Deserialize, Serialize};
 
-/// A peer's message to its relay.
+/// Message from a peer to its relay.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// The first message on a link.
+    /// First message on a link.
     Hello(PeerHello),
-    /// What the peer has in force now.
+    /// The peer's applied or rejected version changed.
     Report {
-        /// The version in force (0 before the first).
+        /// Applied version; 0 if there is none.
         applied: u64,
-        /// The newest version refused, with the reason.
+        /// Newest rejected version and the reason.
         rejected: Option<(u64, String)>,
     },
     /// The targets on the peer's host changed.
     Targets(TargetChange),
-    /// The last delta did not fit; send the whole version.
+    /// Asks for the newest version in full, because a delta could not be applied or the
+    /// peer has missed a version.
     RequestFullVersion,
-    /// The peer leaves for another relay, which holds the lease.
+    /// The peer moves to `relay`, which holds the lease.
     Moved { relay: String },
-    /// Nothing changed; the peer is alive.
+    /// Shows that the peer is alive while it has nothing else to send.
     Heartbeat,
 }
 
-/// Who a peer is and what it already has.
+/// Identity and state of a peer at the start of a link.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerHello {
-    /// The peer's daemon id.
+    /// Daemon id of the peer.
     pub id: String,
-    /// Where its own relay port is, `host:port`.
+    /// Address of the peer's own relay port, `host:port`.
     pub address: String,
-    /// The version it has in force (0 for none).
+    /// Applied version; 0 if there is none.
     pub applied: u64,
-    /// The newest version it refused, with the reason.
+    /// Newest rejected version and the reason.
     pub rejected: Option<(u64, String)>,
-    /// The targets on its host.
+    /// Targets on the peer's host.
     pub targets: Vec<TargetRecord>,
 }
 
-/// A relay's message to a peer.
+/// Message from a relay to a peer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RelayMessage {
-    /// The link is accepted.
+    /// The relay accepts the link.
     Welcome(RelayWelcome),
-    /// This daemon is not a relay now; ask the one named, if any.
+    /// The daemon is not a relay. `relay` is the address of the relay, if it is known.
     Refused { relay: Option<String> },
-    /// A newer version.
+    /// A newer settings version.
     Version(VersionUpdate),
-    /// The zone's targets changed.
+    /// Targets of the zone changed.
     Targets(TargetChange),
-    /// The zone's membership changed.
+    /// The membership of the zone changed.
     Zone(ZoneShape),
-    /// Whether the relay reaches the platform.
+    /// The relay can or cannot reach the platform now.
     Platform { reachable: bool },
-    /// The answer to a peer's beat: the newest version the relay has.
+    /// Reply to a peer's heartbeat, with the number of the relay's newest version.
     Heartbeat { newest: u64 },
-    /// The relay is going away; link to the one named, if any.
+    /// The relay shuts down or gives up its role. `relay` is the address of the next
+    /// relay, if it is known.
     Goodbye { relay: Option<String> },
 }
 
-/// How a link starts.
+/// State of the relay and of its zone at the start of a link.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelayWelcome {
-    /// The fencing token of the lease the relay holds or last saw.
+    /// Fencing token of the lease that the relay holds or saw last.
     pub token: u64,
-    /// No version below this may be applied: the highest one the relay knows
-    /// any daemon of the zone has had in force.
+    /// Lowest version that the peer may apply. It is the highest version that, as far
+    /// as the relay knows, any daemon of the zone has applied.
     pub floor: u64,
-    /// Whether the relay reaches the platform.
+    /// Whether the relay can reach the platform.
     pub platform_reachable: bool,
-    /// The zone's membership.
+    /// Membership of the zone.
     pub zone: ZoneShape,
 }
 
-/// The membership facts every daemon of a zone keeps for when its relay is lost.
+/// Membership of a zone. Each daemon keeps it for the case that it loses its relay.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneShape {
-    /// Relay addresses to try in this order when the relay is lost.
+    /// Addresses of the daemons to try as the next relay, in this order.
     pub successors: Vec<String>,
-    /// Daemons in the zone, for pacing fallback reads.
+    /// Number of daemons in the zone. Without a relay they share the limit on platform
+    /// reads.
     pub size: u32,
 }
 
-/// A version on its way to a peer.
+/// A settings version that a relay sends to a peer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum VersionUpdate {
-    /// The whole version.
+    /// The version in full.
     Full(VersionRecord),
-    /// The steps from a version the peer acknowledged.
+    /// The difference from a version that the peer has applied.
     Delta {
-        /// The version the steps start from.
+        /// Number of the version that the delta starts from.
         base: u64,
-        /// The version they produce.
+        /// Number of the version that the delta produces.
         number: u64,
-        /// The steps.
         delta: TreeDelta,
     },
 }
 
-/// A change to the targets of one host (peer to relay) or zone (relay to peer).
+/// Change to the targets of a host (from a peer) or of the zone (from a relay).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetChange {
-    /// Set when `upserts` is everything there is.
+    /// Whether `upserts` is the complete list of targets, not a change to an earlier list.
     pub is_snapshot: bool,
-    /// Targets that joined or changed.
+    /// Targets that were added or changed.
     pub upserts: Vec<TargetRecord>,
-    /// Addresses of targets that are gone.
+    /// Addresses of removed targets.
     pub removed: Vec<String>,
-    /// Reported loads that moved, by address.
+    /// Changed loads, as pairs of target address and reported load.
     pub loads: Vec<(String, u32)>,
 }
 
 impl TargetChange {
-    /// Whether the change says nothing.
+    /// Returns whether the receiver has nothing to update.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         !self.is_snapshot
@@ -127,65 +130,70 @@
     }
 }
 
-/// Largest frame either side accepts, in bytes.
+/// Maximum length of a frame's body that either side accepts, in bytes.
 pub const MAX_FRAME_BYTES: usize = 32 * 1024 * 1024;
-/// Bytes of the length that precedes each frame's body.
-const LENGTH_BYTES: usize = 4;
+/// Size of the length prefix of a frame, in bytes.
+const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// Encodes one message as a frame: a big-endian length, then `bincode`.
+/// Encodes a message as a frame: its length in bytes as a big-endian `u32`, then its
+/// `bincode` encoding.
 ///
 /// # Panics
-/// Never for this crate's messages, which hold only plain data.
+/// Panics if the message cannot be encoded. Messages of this crate hold only plain data
+/// and can always be encoded.
 #[must_use]
 pub fn encode_frame<T: Serialize>(message: &T) -> Bytes {
     let body = bincode::serde::encode_to_vec(message, bincode::config::standard())
-        .expect("a message always encodes");
-    let mut frame = BytesMut::with_capacity(LENGTH_BYTES + body.len());
+        .expect("messages hold only plain data");
+    let mut frame = BytesMut::with_capacity(LENGTH_PREFIX_BYTES + body.len());
     frame.put_u32(u32::try_from(body.len()).unwrap_or(u32::MAX));
     frame.put_slice(&body);
     frame.freeze()
 }
 
-/// Why a link's bytes are not messages; the link is dropped.
+/// Why received bytes cannot be decoded. The link is closed then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// The frame's length is over [`MAX_FRAME_BYTES`].
+    /// The length prefix is above [`MAX_FRAME_BYTES`].
     TooLong,
-    /// The body is not a message.
+    /// The body is not one message of the expected type.
     Undecodable,
 }
 
-/// Cuts a byte stream into messages.
+/// Decodes messages from a stream of received bytes.
 #[derive(Debug, Default)]
 pub struct FrameDecoder {
     buffer: BytesMut,
 }
 
 impl FrameDecoder {
-    /// Adds received bytes.
+    /// Appends received bytes to the buffer.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes the next whole message, or `None` until more bytes arrive.
+    /// Removes the next message from the buffer. Returns `None` while its frame is
+    /// incomplete.
     ///
     /// # Errors
-    /// [`FrameError`] when the bytes cannot be a message.
+    /// Returns a [`FrameError`] if the frame is too long or its body is not a message.
     pub fn decode_next<T: serde::de::DeserializeOwned>(&mut self) -> Result<Option<T>, FrameError> {
-        let Some(length) = self.buffer.first_chunk::<LENGTH_BYTES>() else {
+        let Some(length) = self.buffer.first_chunk::<LENGTH_PREFIX_BYTES>() else {
             return Ok(None);
         };
         let length = u32::from_be_bytes(*length) as usize;
         if length > MAX_FRAME_BYTES {
             return Err(FrameError::TooLong);
         }
-        if self.buffer.len() < LENGTH_BYTES + length {
+        if self.buffer.len() < LENGTH_PREFIX_BYTES + length {
             return Ok(None);
         }
-        let frame = self.buffer.split_to(LENGTH_BYTES + length);
-        let (message, used) =
-            bincode::serde::decode_from_slice(&frame[LENGTH_BYTES..], bincode::config::standard())
-                .map_err(|_| FrameError::Undecodable)?;
+        let frame = self.buffer.split_to(LENGTH_PREFIX_BYTES + length);
+        let (message, used) = bincode::serde::decode_from_slice(
+            &frame[LENGTH_PREFIX_BYTES..],
+            bincode::config::standard(),
+        )
+        .map_err(|_| FrameError::Undecodable)?;
         if used == length {
             Ok(Some(message))
         } else {
