--- a/crates/daemon/src/admin.rs
+++ b/crates/daemon/src/admin.rs
@@ -1,5 +1,5 @@
-//! The admin edge: targets announce themselves here, and operators read the
-//! daemon's status and counters.
+//! HTTP routes of the admin port. Targets announce themselves on it, and operators
+//! read the daemon's status and counters.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,38 +14,38 @@
 use crate::control::{ControlEvent, StatusView};
 use crate::counters::DaemonCounters;
 
-/// What the admin handlers share with the rest of the daemon.
-pub struct AdminShared {
-    /// Where control events go.
+/// State that the admin handlers share with the rest of the daemon.
+pub struct AdminState {
+    /// Sends events to the control loop.
     pub events: mpsc::Sender<ControlEvent>,
-    /// The status the control loop last published.
+    /// Status that the control loop published last.
     pub status: Arc<ArcSwap<StatusView>>,
-    /// Counters.
+    /// Counters that `/metrics` returns.
     pub counters: Arc<DaemonCounters>,
 }
 
 #[post("/announce", data = "<announcement>")]
-async fn announce(shared: &State<AdminShared>, announcement: Json<TargetAnnouncement>) -> Status {
+async fn announce(state: &State<AdminState>, announcement: Json<TargetAnnouncement>) -> Status {
     let event = ControlEvent::Announced {
         announcement: announcement.into_inner(),
     };
-    match shared.events.send(event).await {
+    match state.events.send(event).await {
         Ok(()) => Status::Accepted,
         Err(_) => Status::ServiceUnavailable,
     }
 }
 
 #[get("/status")]
-fn status(shared: &State<AdminShared>) -> Json<StatusView> {
-    Json(StatusView::clone(&shared.status.load()))
+fn status(state: &State<AdminState>) -> Json<StatusView> {
+    Json(StatusView::clone(&state.status.load()))
 }
 
 #[get("/metrics")]
-fn metrics(shared: &State<AdminShared>) -> Json<BTreeMap<String, u64>> {
-    Json(shared.counters.snapshot())
+fn metrics(state: &State<AdminState>) -> Json<BTreeMap<String, u64>> {
+    Json(state.counters.snapshot())
 }
 
-/// The admin routes.
+/// Returns the routes `/announce`, `/status` and `/metrics`.
 #[must_use]
 pub fn routes() -> Vec<Route> {
     routes![announce, status, metrics]
--- a/crates/daemon/src/counters.rs
+++ b/crates/daemon/src/counters.rs
@@ -1,5 +1,5 @@
-//! The daemon's counters, kept with `opentelemetry` and read back through a
-//! manual reader for the admin endpoint `/metrics`.
+//! Counters of the daemon. They are `opentelemetry` instruments; a manual reader
+//! collects their totals for the admin endpoint `/metrics`.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Weak};
@@ -14,25 +14,25 @@
     InstrumentKind, ManualReader, Pipeline, SdkMeterProvider, Temporality,
 };
 
-/// How a proxied call ended, as counted per service.
+/// Outcome of a proxied call. Calls are counted by service and outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
     /// The target answered with a status below 500.
     Answered,
     /// The target answered with a status of 500 or more.
     Failed,
-    /// The call certainly did not reach a target.
+    /// No target ran the call.
     NotRun,
-    /// The call may or may not have run.
+    /// A target may have run the call.
     Unknown,
-    /// The call ran before; it got the recorded answer.
+    /// An earlier attempt ran the call, and its recorded answer was returned.
     Replayed,
-    /// The call was refused as malformed.
+    /// The call was refused because it was malformed.
     Refused,
 }
 
 impl CallOutcome {
-    /// The outcome's label in counters.
+    /// Value of the `outcome` label in the `calls` counter.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Every counter the daemon keeps.
+/// All counters of the daemon.
 pub struct DaemonCounters {
     reader: Arc<ManualReader>,
     _provider: SdkMeterProvider,
@@ -69,7 +69,7 @@
 }
 
 impl DaemonCounters {
-    /// Creates the counters with their own meter provider.
+    /// Creates the counters, all 0, with a meter provider of their own.
     #[must_use]
     pub fn new() -> DaemonCounters {
         let reader = Arc::new(ManualReader::builder().build());
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Counts one proxied call of `service`.
+    /// Counts one proxied call to `service`.
     pub fn record_call(&self, service: &str, outcome: CallOutcome) {
         self.calls.add(
             1,
@@ -107,37 +107,38 @@
         );
     }
 
-    /// Counts an applied version.
+    /// Counts one applied settings version.
     pub fn record_applied_version(&self) {
         self.versions_applied.add(1, &[]);
     }
 
-    /// Counts a version refused as invalid.
+    /// Counts one settings version that was rejected as invalid.
     pub fn record_rejected_version(&self) {
         self.versions_rejected.add(1, &[]);
     }
 
-    /// Counts a failed platform call.
-    pub fn record_platform_failure(&self) {
+    /// Counts one change from a reachable to an unreachable platform. Further failed
+    /// calls are not counted while the platform is unreachable.
+    pub fn record_platform_outage(&self) {
         self.platform_failures.add(1, &[]);
     }
 
-    /// Counts configuration bytes received.
+    /// Counts the size of an applied settings version, in bytes as received.
     pub fn record_control_bytes(&self, bytes: usize) {
         self.control_bytes.add(bytes as u64, &[]);
     }
 
-    /// Counts bytes of messages received on links between daemons.
+    /// Counts bytes received on links between daemons.
     pub fn record_link_bytes_received(&self, bytes: usize) {
         self.link_bytes_received.add(bytes as u64, &[]);
     }
 
-    /// Counts bytes of messages sent on links between daemons.
+    /// Counts bytes of frames to be sent on links between daemons.
     pub fn record_link_bytes_sent(&self, bytes: usize) {
         self.link_bytes_sent.add(bytes as u64, &[]);
     }
 
-    /// Counts one read of the platform's table or object store.
+    /// Counts one read from the platform's table or object store.
     pub fn record_platform_read(&self) {
         self.platform_reads.add(1, &[]);
     }
@@ -147,12 +148,13 @@
         self.platform_writes.add(1, &[]);
     }
 
-    /// Counts a lease taken or lost by this daemon.
+    /// Counts one acquisition or loss of the zone's lease by this daemon.
     pub fn record_lease_change(&self) {
         self.lease_changes.add(1, &[]);
     }
 
-    /// Every counter's current total, keyed `name` or `name{key=value,...}`.
+    /// Returns the total of each counter that has been incremented. Keys have the form
+    /// `name` or `name{label=value,...}`. The map is empty if collecting the totals fails.
     #[must_use]
     pub fn snapshot(&self) -> BTreeMap<String, u64> {
         let mut metrics = ResourceMetrics::default();
@@ -183,7 +185,8 @@
     }
 }
 
-/// Lets the provider own a reader that [`DaemonCounters`] also keeps.
+/// Shares one reader between the meter provider, which takes ownership of its reader,
+/// and [`DaemonCounters`], which collects from it.
 #[derive(Debug)]
 struct SharedReader(Arc<ManualReader>);
 
--- a/crates/daemon/src/platform_calls.rs
+++ b/crates/daemon/src/platform_calls.rs
@@ -1,5 +1,5 @@
-//! The daemon's calls to the platform. Each runs as its own task and reports
-//! back as an event, so a slow platform never stalls the reducer.
+//! Calls of the daemon to the platform. Each call runs in a task of its own and returns
+//! its outcome as an event, so a slow platform does not block the control loop.
 
 use std::sync::Arc;
 
@@ -13,21 +13,22 @@
 use crate::control::{ControlEvent, LeaseRow, PlatformStep};
 use crate::counters::DaemonCounters;
 
-/// Makes platform calls for one daemon. Cheap to clone.
+/// Starts calls to the platform for one daemon. Clones are cheap.
 #[derive(Clone)]
 pub struct PlatformCalls {
-    /// The platform.
+    /// Client of the platform's table and object store.
     pub platform: PlatformClient,
-    /// The daemon's zone.
+    /// Availability zone of the daemon.
     pub zone: String,
-    /// Where outcomes go.
+    /// Receives the outcomes of the calls.
     pub events: mpsc::Sender<ControlEvent>,
-    /// Counters.
+    /// Counts reads and writes.
     pub counters: Arc<DaemonCounters>,
 }
 
 impl PlatformCalls {
-    fn report<F>(&self, call: F)
+    /// Runs `call` in a task of its own and sends the event that it returns, if any.
+    fn spawn_call<F>(&self, call: F)
     where
         F: std::future::Future<Output = Option<ControlEvent>> + Send + 'static,
     {
@@ -39,11 +40,12 @@
         });
     }
 
-    /// Reads the `current` row.
+    /// Reads the row `current`, which points to the current version. The event has
+    /// number 0 if there is no such row.
     pub fn read_current(&self) {
         self.counters.record_platform_read();
         let platform = self.platform.clone();
-        self.report(async move {
+        self.spawn_call(async move {
             let failed = ControlEvent::PlatformFailed {
                 step: PlatformStep::ReadCurrent,
             };
@@ -67,8 +69,8 @@
         });
     }
 
-    /// Fetches a version object.
-    pub fn fetch(&self, number: u64, object: String) {
+    /// Fetches version `number` in full from the object with the key `object`.
+    pub fn fetch_full(&self, number: u64, object: String) {
         self.fetch_object(number, object, VersionCodec::decode, |record, bytes| {
             ControlEvent::VersionFetched {
                 record: Arc::new(record),
@@ -77,7 +79,7 @@
         });
     }
 
-    /// Fetches the steps to version `number`.
+    /// Fetches the delta to version `number` that `pointer` points to.
     pub fn fetch_delta(&self, number: u64, pointer: DeltaPointer) {
         let base = pointer.base;
         self.fetch_object(
@@ -93,6 +95,8 @@
         );
     }
 
+    /// Fetches an object and decodes it. `fetched` makes the event from the decoded value
+    /// and its encoded size in bytes.
     fn fetch_object<T: 'static>(
         &self,
         number: u64,
@@ -102,7 +106,7 @@
     ) {
         self.counters.record_platform_read();
         let platform = self.platform.clone();
-        self.report(async move {
+        self.spawn_call(async move {
             let failed = ControlEvent::PlatformFailed {
                 step: PlatformStep::FetchVersion,
             };
@@ -119,12 +123,12 @@
         });
     }
 
-    /// Scans the zone's target rows.
+    /// Reads the target rows of the zone. Rows that cannot be decoded are skipped.
     pub fn read_targets(&self) {
         self.counters.record_platform_read();
         let platform = self.platform.clone();
         let prefix = StoreKey::zone_target_prefix(&self.zone);
-        self.report(async move {
+        self.spawn_call(async move {
             Some(match platform.scan(&prefix).await {
                 Ok(rows) => ControlEvent::TargetsRead {
                     records: rows
@@ -139,15 +143,15 @@
         });
     }
 
-    /// Reads the zone's lease row.
+    /// Reads the lease row of the zone. A row that cannot be decoded counts as absent.
     pub fn read_lease(&self) {
         self.counters.record_platform_read();
         let platform = self.platform.clone();
         let key = StoreKey::lease(&self.zone);
-        self.report(async move {
+        self.spawn_call(async move {
             Some(match platform.get(&key).await {
                 Ok(row) => ControlEvent::LeaseRead {
-                    row: row.and_then(lease_row),
+                    row: row.and_then(decode_lease_row),
                 },
                 Err(_) => ControlEvent::PlatformFailed {
                     step: PlatformStep::Lease,
@@ -156,39 +160,40 @@
         });
     }
 
-    /// Writes the zone's lease row if `expect` holds.
+    /// Writes the lease row of the zone if `expect` holds.
     pub fn write_lease(&self, expect: WriteCondition, record: &LeaseRecord) {
         self.counters.record_platform_write();
         let platform = self.platform.clone();
         let key = StoreKey::lease(&self.zone);
         let value = serde_json::to_value(record).unwrap_or_default();
-        self.report(async move {
+        self.spawn_call(async move {
             let failed = ControlEvent::PlatformFailed {
                 step: PlatformStep::Lease,
             };
             Some(match platform.put(&key, expect, value).await {
                 Ok(WriteOutcome::Written(row)) => {
-                    lease_row(row).map_or(failed, |row| ControlEvent::LeaseWritten { row })
+                    decode_lease_row(row).map_or(failed, |row| ControlEvent::LeaseWritten { row })
                 }
                 Ok(WriteOutcome::Refused(row)) => ControlEvent::LeaseRefused {
-                    row: row.and_then(lease_row),
+                    row: row.and_then(decode_lease_row),
                 },
                 Err(_) => failed,
             })
         });
     }
 
-    /// Writes the zone's digest row unless a later lease's holder has.
+    /// Writes the digest row of the zone, unless the stored digest has a higher fencing
+    /// token.
     pub fn write_digest(&self, digest: ZoneDigest) {
         self.counters.record_platform_read();
         self.counters.record_platform_write();
         let platform = self.platform.clone();
         let key = StoreKey::digest(&self.zone);
-        self.report(async move {
-            // Guards against a relay paused past its lease writing over its
-            // successor's digest (seen as proxies that `filbertctl watch`
-            // takes for behind): the stored token is checked, and the write
-            // goes through only if the row has not changed since.
+        self.spawn_call(async move {
+            // Checks the stored token and writes only if the row has not changed
+            // since. Otherwise a relay that was paused until its lease expired could
+            // overwrite the digest of its successor, and `filbertctl watch` would show
+            // proxies as behind that are not.
             let failed = ControlEvent::PlatformFailed {
                 step: PlatformStep::Write,
             };
@@ -212,24 +217,24 @@
         });
     }
 
-    /// Writes a target's row.
+    /// Writes the row of a target.
     pub fn write_target(&self, record: &TargetRecord) {
         let key = StoreKey::target(&record.zone, &record.service, &record.address);
         self.write_row(key, serde_json::to_value(record).unwrap_or_default());
     }
 
-    /// Writes this daemon's status row.
+    /// Writes the status row of this daemon.
     pub fn write_status(&self, status: &DaemonStatus) {
         let key = StoreKey::daemon(&status.zone, &status.id);
         self.write_row(key, serde_json::to_value(status).unwrap_or_default());
     }
 
-    /// Status and target rows are rewritten whole every refresh, so a write
-    /// lost here is repaired by the next one.
+    /// Writes a status or target row unconditionally. A failed write is not retried: each
+    /// refresh writes the complete rows again.
     fn write_row(&self, key: String, value: serde_json::Value) {
         self.counters.record_platform_write();
         let platform = self.platform.clone();
-        self.report(async move {
+        self.spawn_call(async move {
             let failed = ControlEvent::PlatformFailed {
                 step: PlatformStep::Write,
             };
@@ -239,7 +244,8 @@
     }
 }
 
-fn lease_row(row: TableRow) -> Option<LeaseRow> {
+/// Decodes a lease row. Returns `None` if its value is not a lease.
+fn decode_lease_row(row: TableRow) -> Option<LeaseRow> {
     Some(LeaseRow {
         version: row.version,
         record: serde_json::from_value(row.value).ok()?,
--- a/crates/daemon/src/runner.rs
+++ b/crates/daemon/src/runner.rs
@@ -1,4 +1,4 @@
-//! Runs the reducer: feeds it events and carries out its effects.
+//! Runs the control loop: passes events to the reducer and executes its effects.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,44 +12,44 @@
 use crate::clock::Clock;
 use crate::control::{ControlEffect, ControlEvent, ControlState, StateChange, StatusView};
 use crate::counters::DaemonCounters;
-use crate::links::{run_link, PeerSenders, PingTimes};
+use crate::links::{run_link, KeepaliveSettings, PeerSenders};
 use crate::messages::encode_frame;
 use crate::platform_calls::PlatformCalls;
 use crate::proxy::{AppliedConfig, ProxyShared};
 
-/// Messages that may wait on the link to the relay.
-const UPLINK_QUEUE: usize = 256;
+/// Maximum number of frames that wait to be sent to a relay.
+const RELAY_QUEUE_FRAMES: usize = 256;
 
-/// Carries out effects.
+/// Executes the effects that the reducer returns.
 pub struct ControlRunner {
-    /// Calls to the platform.
+    /// Starts calls to the platform.
     pub calls: PlatformCalls,
-    /// The proxy, which gets versions and targets.
+    /// State of the proxy, which gets versions and targets.
     pub proxy: Arc<ProxyShared>,
-    /// Where the status is published.
+    /// Status that the admin port returns. Replaced after each event.
     pub status: Arc<ArcSwap<StatusView>>,
-    /// Links to peers.
+    /// Send queues of the links to peers.
     pub peers: PeerSenders,
-    /// Where events of links go.
+    /// Receives the events of links.
     pub events: mpsc::Sender<ControlEvent>,
-    /// When links are checked.
-    pub pings: PingTimes,
-    /// The clock.
+    /// How links to relays are checked.
+    pub keepalive: KeepaliveSettings,
+    /// Clock that is read for each event.
     pub clock: Arc<dyn Clock>,
-    /// Links to relays, by link number.
-    pub uplinks: HashMap<u64, mpsc::Sender<Bytes>>,
+    /// Send queues of the links to relays, by link number. Removing one closes its link.
+    pub relay_queues: HashMap<u64, mpsc::Sender<Bytes>>,
 }
 
 impl ControlRunner {
-    /// Runs `control` on `events`, with a tick every `tick`, until every
-    /// sender of events is gone.
+    /// Passes `events`, and a tick after each `tick_interval`, to `control`. Returns when
+    /// all senders of events have been dropped.
     pub async fn run(
         mut self,
         mut control: ControlState,
         mut events: mpsc::Receiver<ControlEvent>,
-        tick: Duration,
+        tick_interval: Duration,
     ) {
-        let mut ticks = tokio::time::interval(tick);
+        let mut ticks = tokio::time::interval(tick_interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             let event = tokio::select! {
@@ -69,7 +69,7 @@
     fn execute(&mut self, effect: ControlEffect) {
         match effect {
             ControlEffect::ReadCurrent => self.calls.read_current(),
-            ControlEffect::FetchVersion { number, object } => self.calls.fetch(number, object),
+            ControlEffect::FetchVersion { number, object } => self.calls.fetch_full(number, object),
             ControlEffect::FetchDelta { number, pointer } => {
                 self.calls.fetch_delta(number, pointer);
             }
@@ -89,7 +89,7 @@
             }
             ControlEffect::Connect { link, address } => self.connect(link, address),
             ControlEffect::Disconnect { link } => {
-                self.uplinks.remove(&link);
+                self.relay_queues.remove(&link);
             }
             ControlEffect::SendUp { link, message } => self.send_up(link, encode_frame(&message)),
             ControlEffect::SendPeers { peers, message } => {
@@ -99,38 +99,41 @@
                 }
             }
             ControlEffect::DropPeer { peer } => self.peers.close(peer),
-            ControlEffect::Note { change } => self.note(&change),
+            ControlEffect::Note { change } => self.record_state_change(&change),
         }
     }
 
+    /// Opens link `link` in a task of its own.
     fn connect(&mut self, link: u64, address: String) {
-        let (sender, queue) = mpsc::channel(UPLINK_QUEUE);
-        self.uplinks.insert(link, sender);
+        let (sender, queue) = mpsc::channel(RELAY_QUEUE_FRAMES);
+        self.relay_queues.insert(link, sender);
         let events = self.events.clone();
-        let pings = self.pings;
+        let keepalive = self.keepalive;
         let counters = Arc::clone(&self.proxy.counters);
         tokio::spawn(async move {
-            let ended = run_link(link, &address, queue, pings, &events, &counters).await;
-            if let Err(error) = ended {
+            let result = run_link(link, &address, queue, keepalive, &events, &counters).await;
+            if let Err(error) = result {
                 log::debug!("event=link_ended address={address} reason={error}");
             }
             let _ = events.send(ControlEvent::LinkDown { link }).await;
         });
     }
 
+    /// Queues `frame` for the relay on link `link`.
     fn send_up(&mut self, link: u64, frame: Bytes) {
-        // A relay that takes nothing for a whole queue is given up: dropping
-        // the sender ends the link, and the daemon looks for a relay anew.
-        let taken = self
-            .uplinks
+        // If the queue is full, the relay has stopped reading. Dropping the sender
+        // closes the link, and the daemon looks for a relay again.
+        let queued = self
+            .relay_queues
             .get(&link)
             .is_some_and(|sender| sender.try_send(frame).is_ok());
-        if !taken {
-            self.uplinks.remove(&link);
+        if !queued {
+            self.relay_queues.remove(&link);
         }
     }
 
-    fn note(&self, change: &StateChange) {
+    /// Counts a change of state and logs it.
+    fn record_state_change(&self, change: &StateChange) {
         let counters: &DaemonCounters = &self.proxy.counters;
         match change {
             StateChange::Applied { bytes, .. } => {
@@ -138,7 +141,7 @@
                 counters.record_control_bytes(*bytes);
             }
             StateChange::Rejected { .. } => counters.record_rejected_version(),
-            StateChange::PlatformLost { .. } => counters.record_platform_failure(),
+            StateChange::PlatformLost { .. } => counters.record_platform_outage(),
             StateChange::LeaseTaken { .. } | StateChange::LeaseLost { .. } => {
                 counters.record_lease_change();
             }
--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,5 +1,5 @@
-//! The daemon's own settings file (TOML): who it is, where it listens, where
-//! the platform is, and its timeouts.
+//! Settings file of the daemon (TOML): its identity, the addresses at which it listens,
+//! the platform's URL, timeouts, and the zone's relay.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,61 +10,64 @@
 use filbert_tree::ParseError;
 use serde::{Deserialize, Serialize};
 
-/// Everything the daemon reads from its settings file.
+/// Contents of the daemon's settings file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DaemonSettings {
-    /// The daemon's id, unique in its zone.
+    /// Id of the daemon, unique in its zone.
     pub id: String,
-    /// The availability zone it serves.
+    /// Availability zone of the daemon.
     pub zone: String,
-    /// Where callers reach the proxy.
+    /// Address at which the proxy listens for calls.
     pub proxy_listen: SocketAddr,
-    /// Where targets announce themselves and operators read status.
+    /// Address of the admin port, on which targets announce themselves and operators read
+    /// the status and counters.
     pub admin_listen: SocketAddr,
-    /// Where the zone's other daemons link to this one while it relays.
+    /// Address of the relay port, to which the zone's other daemons connect while this
+    /// daemon is the relay.
     pub relay_listen: SocketAddr,
-    /// Where the others reach that port, when not at `relay_listen` itself.
+    /// Address at which other daemons reach the relay port, if it differs from
+    /// `relay_listen`.
     #[serde(default)]
     pub relay_advertise: Option<SocketAddr>,
     /// Base URL of the platform's table and object store.
     pub platform: String,
-    /// How versions and targets reach this daemon.
+    /// How the daemon gets versions and targets.
     #[serde(default)]
     pub distribution: DistributionMode,
     /// Timeouts and intervals.
     #[serde(default)]
     pub timeouts: DaemonTimeouts,
-    /// The zone relay.
+    /// Lease and links of the zone's relay, and platform reads without one.
     #[serde(default)]
     pub relay: RelaySettings,
 }
 
-/// How versions and targets reach a daemon.
+/// How a daemon gets versions and targets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum DistributionMode {
-    /// Through the zone's relay, which alone reads the platform.
+    /// From the zone's relay, which is the only daemon of the zone that reads the platform.
     #[default]
     Relay,
-    /// From the platform, each daemon for itself.
+    /// Directly from the platform, without a relay.
     Direct,
 }
 
-/// The zone relay.
+/// Lease and links of the zone's relay, and platform reads without one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RelaySettings {
-    /// How long a lease lasts without renewal, in milliseconds.
+    /// Time until a lease expires if it is not renewed, in milliseconds.
     pub lease_ms: u64,
-    /// How often a link is checked with a PING, in milliseconds.
+    /// Pause between two PINGs on a link, in milliseconds.
     pub ping_ms: u64,
-    /// A PING unanswered for this long ends the link, in milliseconds.
+    /// Time without a response to a PING after which the link is closed, in milliseconds.
     pub silence_ms: u64,
-    /// Platform reads per second a zone's daemons may make together while
-    /// they have no relay.
+    /// Maximum number of platform reads per second that all daemons of a zone make
+    /// together while they have no relay.
     pub zone_reads_per_second: u32,
-    /// Daemons assumed in the zone until a relay says how many there are.
+    /// Number of daemons that a zone is assumed to have until a relay sends the number.
     pub zone_size_hint: u32,
 }
 
@@ -81,21 +84,21 @@
 }
 
 impl RelaySettings {
-    /// The lease time.
+    /// Returns the time until a lease expires if it is not renewed.
     #[must_use]
     pub fn lease_duration(&self) -> Duration {
         Duration::from_millis(self.lease_ms)
     }
 
-    /// The PING interval.
+    /// Returns the pause between two PINGs on a link.
     #[must_use]
-    pub fn ping(&self) -> Duration {
+    pub fn ping_interval(&self) -> Duration {
         Duration::from_millis(self.ping_ms)
     }
 
-    /// The PING timeout.
+    /// Returns the time without a response to a PING after which a link is closed.
     #[must_use]
-    pub fn silence(&self) -> Duration {
+    pub fn ping_timeout(&self) -> Duration {
         Duration::from_millis(self.silence_ms)
     }
 }
@@ -104,15 +107,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DaemonTimeouts {
-    /// How often the platform is asked for the version in force.
+    /// Interval at which the number of the current version is read from the platform.
     pub poll_ms: u64,
-    /// How long one platform call may take.
+    /// Timeout of one call to the platform.
     pub platform_ms: u64,
-    /// A target not heard from for this long is taken out of rotation.
+    /// Time without an announcement after which a target gets no more calls.
     pub target_expiry_ms: u64,
-    /// How long a new version may wait for targets of the services it starts to use.
+    /// Maximum time that a new version waits for targets of the services that it starts
+    /// to use.
     pub stage_ms: u64,
-    /// How long a planned stop waits for calls in flight.
+    /// Maximum time that a graceful shutdown waits for calls in progress.
     pub shutdown_grace_ms: u64,
 }
 
@@ -129,42 +133,43 @@
 }
 
 impl DaemonTimeouts {
-    /// The poll interval.
+    /// Returns the interval at which the current version's number is read.
     #[must_use]
     pub fn poll_interval(&self) -> Duration {
         Duration::from_millis(self.poll_ms)
     }
 
-    /// The platform call timeout.
+    /// Returns the timeout of one call to the platform.
     #[must_use]
-    pub fn platform(&self) -> Duration {
+    pub fn platform_timeout(&self) -> Duration {
         Duration::from_millis(self.platform_ms)
     }
 
-    /// The stage limit.
+    /// Returns the maximum time that a new version waits for targets.
     #[must_use]
     pub fn staging_timeout(&self) -> Duration {
         Duration::from_millis(self.stage_ms)
     }
 
-    /// The target expiry.
+    /// Returns the time without an announcement after which a target gets no more calls.
     #[must_use]
     pub fn target_expiry(&self) -> Duration {
         Duration::from_millis(self.target_expiry_ms)
     }
 }
 
-/// Shortest lease: below it, a slow platform call outlasts the lease.
+/// Minimum duration of a lease, in milliseconds. A shorter lease could expire during a
+/// slow call to the platform.
 const MIN_LEASE_MS: u64 = 500;
 
-/// The settings file could not be used.
+/// Why the settings file was rejected.
 #[derive(Debug)]
 pub enum SettingsError {
-    /// It could not be read.
+    /// The file could not be read.
     Unreadable,
-    /// It is not valid TOML for these settings.
+    /// The text is not valid TOML, or a key is unknown, missing or of the wrong type.
     Invalid(ParseError),
-    /// A value is out of range.
+    /// The value of `key` is not allowed, for `reason`.
     OutOfRange {
         key: &'static str,
         reason: &'static str,
@@ -184,10 +189,10 @@
 impl std::error::Error for SettingsError {}
 
 impl DaemonSettings {
-    /// Reads and checks the settings file at `path`.
+    /// Reads, parses and validates the settings file at `path`.
     ///
     /// # Errors
-    /// [`SettingsError`] naming the file, and the line and key where known.
+    /// Returns a [`SettingsError`] with the file's path, and the line and key if known.
     pub fn load(path: &Path) -> Result<DaemonSettings, Report<SettingsError>> {
         let text = std::fs::read_to_string(path)
             .change_context(SettingsError::Unreadable)
@@ -195,20 +200,21 @@
         Self::parse(&text).attach(format!("file {}", path.display()))
     }
 
-    /// Parses and checks settings text.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
-    /// [`SettingsError`] with the line and key where known.
+    /// Returns a [`SettingsError`] with the line and key if known.
     pub fn parse(text: &str) -> Result<DaemonSettings, Report<SettingsError>> {
         let settings: DaemonSettings = toml::from_str(text).map_err(|error| {
             Report::new(SettingsError::Invalid(ParseError::from_toml(text, &error)))
         })?;
-        settings.check()?;
+        settings.validate()?;
         Ok(settings)
     }
 
-    fn check(&self) -> Result<(), Report<SettingsError>> {
-        let checks: [(&'static str, bool, &'static str); 7] = [
+    /// Returns an error for the first value that is not allowed.
+    fn validate(&self) -> Result<(), Report<SettingsError>> {
+        let rules: [(&'static str, bool, &'static str); 7] = [
             ("id", self.id.is_empty(), "must not be empty"),
             ("zone", self.zone.is_empty(), "must not be empty"),
             (
@@ -233,7 +239,7 @@
                 "must be above 0",
             ),
         ];
-        match checks.into_iter().find(|(_, failed, _)| *failed) {
+        match rules.into_iter().find(|(_, violated, _)| *violated) {
             Some((key, _, reason)) => Err(Report::new(SettingsError::OutOfRange { key, reason })),
             None => Ok(()),
         }
--- a/crates/daemon/src/shell.rs
+++ b/crates/daemon/src/shell.rs
@@ -1,5 +1,5 @@
-//! Starts the daemon's parts, wires them together, and sees a planned stop
-//! through.
+//! Starts the control loop and the servers of the daemon, and shuts the daemon down
+//! gracefully on SIGTERM or SIGINT.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -17,24 +17,24 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::mpsc;
 
-use crate::admin::{self, AdminShared};
+use crate::admin::{self, AdminState};
 use crate::clock::{Clock, SystemClock};
 use crate::control::{ControlEvent, ControlSettings, ControlState, StatusView};
 use crate::counters::DaemonCounters;
-use crate::links::{serve_peers, PeerSenders, PingTimes};
+use crate::links::{serve_peers, KeepaliveSettings, PeerSenders};
 use crate::platform_calls::PlatformCalls;
 use crate::proxy::{ProxyHandler, ProxyShared};
 use crate::runner::ControlRunner;
 use crate::settings::DaemonSettings;
 
-/// Why the daemon stopped other than by a planned stop.
+/// Why the daemon stopped, if not by a graceful shutdown.
 #[derive(Debug)]
 pub enum DaemonError {
-    /// A listener could not be started.
+    /// A server could not be started or failed.
     Listen,
-    /// The order to stop could not be watched for.
+    /// The signal handlers could not be installed.
     Signal,
-    /// The control loop broke an invariant and stopped.
+    /// The control loop panicked.
     Control,
 }
 
@@ -42,7 +42,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             DaemonError::Listen => formatter.write_str("could not start listening"),
-            DaemonError::Signal => formatter.write_str("could not watch for the order to stop"),
+            DaemonError::Signal => formatter.write_str("could not install signal handlers"),
             DaemonError::Control => formatter.write_str("the control loop stopped"),
         }
     }
@@ -50,32 +50,33 @@
 
 impl std::error::Error for DaemonError {}
 
-/// Capacity of the control event queue.
-const EVENT_QUEUE: usize = 1024;
-/// Longest time between ticks of the reducer. Short against the poll interval:
-/// a poll that just misses its tick waits for the next one.
-const TICK: Duration = Duration::from_millis(50);
-/// Time a planned stop gives the lease release and the farewells to leave.
-const FAREWELL: Duration = Duration::from_millis(150);
+/// Maximum number of events that wait for the control loop.
+const EVENT_QUEUE_CAPACITY: usize = 1024;
+/// Maximum interval between ticks of the reducer. It is short compared to the poll
+/// interval, because a poll that is due just after a tick waits for the next one.
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time between the end of the servers and the end of the process, in which the release
+/// of the lease and the goodbye messages are sent.
+const GOODBYE_SEND_TIME: Duration = Duration::from_millis(150);
 
-/// Runs the daemon until a planned stop (SIGTERM or Ctrl-C), which lets
-/// calls in flight finish within the grace period.
+/// Runs the daemon until it has shut down gracefully, on SIGTERM or SIGINT. Calls in
+/// progress may finish within the grace period.
 ///
 /// # Errors
-/// [`DaemonError::Listen`] when the proxy, admin or relay port cannot be
-/// bound; [`DaemonError::Signal`] when signals cannot be watched;
-/// [`DaemonError::Control`] when the control loop panicked.
+/// Returns [`DaemonError::Listen`] if the proxy, admin or relay port cannot be bound or a
+/// server fails, [`DaemonError::Signal`] if the signal handlers cannot be installed, and
+/// [`DaemonError::Control`] if the control loop panics.
 pub async fn run(settings: DaemonSettings) -> Result<(), Report<DaemonError>> {
     let clock: Arc<dyn Clock> = Arc::new(SystemClock);
     let counters = Arc::new(DaemonCounters::new());
-    let platform = PlatformClient::new(&settings.platform, settings.timeouts.platform());
+    let platform = PlatformClient::new(&settings.platform, settings.timeouts.platform_timeout());
     let proxy = Arc::new(ProxyShared::new(
         Arc::clone(&counters),
         platform.clone(),
         Arc::clone(&clock),
     ));
     let status = Arc::new(ArcSwap::from_pointee(StatusView::default()));
-    let (events, received) = mpsc::channel(EVENT_QUEUE);
+    let (events, received) = mpsc::channel(EVENT_QUEUE_CAPACITY);
     let peers = PeerSenders::default();
     let listener = TcpListener::bind(settings.relay_listen)
         .await
@@ -98,50 +99,49 @@
         status: Arc::clone(&status),
         peers,
         events: events.clone(),
-        pings: PingTimes {
-            every: settings.relay.ping(),
-            silence: settings.relay.silence(),
+        keepalive: KeepaliveSettings {
+            interval: settings.relay.ping_interval(),
+            timeout: settings.relay.ping_timeout(),
         },
         clock: Arc::clone(&clock),
-        uplinks: HashMap::new(),
+        relay_queues: HashMap::new(),
     };
     let control = ControlState::new(
-        ControlSettings::from_daemon(&settings, incarnation(clock.as_ref())),
+        ControlSettings::from_daemon(&settings, new_incarnation(clock.as_ref())),
         clock.reading(),
     );
-    let tick = settings.timeouts.poll_interval().min(TICK);
-    let control_loop = tokio::spawn(runner.run(control, received, tick));
-    let admin_shared = AdminShared {
+    let tick_interval = settings.timeouts.poll_interval().min(MAX_TICK_INTERVAL);
+    let control_loop = tokio::spawn(runner.run(control, received, tick_interval));
+    let admin_state = AdminState {
         events: events.clone(),
         status,
         counters,
     };
-    // Guards against a daemon that proxies on with a dead control loop (seen
-    // as one proxy that never gets another version): without the loop the
-    // process ends, and its host starts it anew.
+    // Ends the process if the control loop ends, so that the host restarts it.
+    // Otherwise the daemon would go on proxying calls but never get another version.
     tokio::select! {
-        served = serve(&settings, proxy, admin_shared, events) => served,
+        served = serve(&settings, proxy, admin_state, events) => served,
         _ = control_loop => Err(Report::new(DaemonError::Control)),
     }
 }
 
-/// Serves callers and operators until a planned stop is through.
+/// Runs the proxy and admin servers until a graceful shutdown is complete.
 async fn serve(
     settings: &DaemonSettings,
     proxy: Arc<ProxyShared>,
-    admin_shared: AdminShared,
+    admin_state: AdminState,
     events: mpsc::Sender<ControlEvent>,
 ) -> Result<(), Report<DaemonError>> {
-    let stopping = AdHoc::on_shutdown("hand the relay over", move |_| {
+    let notify_control_loop = AdHoc::on_shutdown("notify the control loop", move |_| {
         Box::pin(async move {
             let _ = events.send(ControlEvent::Stopping).await;
         })
     });
     let proxy_server = rocket::custom(server_config(settings, settings.proxy_listen))
-        .attach(stopping)
+        .attach(notify_control_loop)
         .mount("/", ProxyHandler::routes(proxy));
     let admin_server = rocket::custom(server_config(settings, settings.admin_listen))
-        .manage(admin_shared)
+        .manage(admin_state)
         .mount("/", admin::routes());
     log::info!(
         "event=started id={} zone={} proxy={} admin={} relay={}",
@@ -160,40 +160,43 @@
         .await
         .change_context(DaemonError::Listen)?;
     let (stop_proxy, stop_admin) = (proxy_server.shutdown(), admin_server.shutdown());
-    let mut ordered = signal(SignalKind::terminate()).change_context(DaemonError::Signal)?;
-    let mut interrupted = signal(SignalKind::interrupt()).change_context(DaemonError::Signal)?;
-    let mut serving = pin!(async { tokio::join!(proxy_server.launch(), admin_server.launch()) });
-    // Guards against a stop that cuts every call under way (seen as "shutdown
-    // failed" within a few milliseconds, in some 1 of 200 stops under load): a
-    // server told to stop by another thread while it is taking a connection
-    // takes the end of its accept loop for its own. Here it is told in its own
-    // task, between two polls, and always sees the order first.
-    let (proxy_done, admin_done) = tokio::select! {
-        done = &mut serving => done,
+    let mut sigterm = signal(SignalKind::terminate()).change_context(DaemonError::Signal)?;
+    let mut sigint = signal(SignalKind::interrupt()).change_context(DaemonError::Signal)?;
+    let mut servers = pin!(async { tokio::join!(proxy_server.launch(), admin_server.launch()) });
+    // Notifies the servers of the shutdown from the task that polls them, so that they
+    // always see the notification before their accept loop ends. If another thread
+    // notifies a server while it accepts a connection, the server takes the end of its
+    // accept loop for the end of the server and aborts all calls in progress: some 1 of
+    // 200 shutdowns under load failed with "shutdown failed" within a few milliseconds.
+    let (proxy_result, admin_result) = tokio::select! {
+        results = &mut servers => results,
         () = async {
             tokio::select! {
-                _ = ordered.recv() => {}
-                _ = interrupted.recv() => {}
+                _ = sigterm.recv() => {}
+                _ = sigint.recv() => {}
             }
         } => {
             stop_proxy.notify();
             stop_admin.notify();
-            serving.await
+            servers.await
         }
     };
-    proxy_done.change_context(DaemonError::Listen)?;
-    admin_done.change_context(DaemonError::Listen)?;
-    tokio::time::sleep(FAREWELL).await;
+    proxy_result.change_context(DaemonError::Listen)?;
+    admin_result.change_context(DaemonError::Listen)?;
+    tokio::time::sleep(GOODBYE_SEND_TIME).await;
     log::info!("event=stopped id={}", settings.id);
     Ok(())
 }
 
-/// A number unique to this start of the daemon.
-fn incarnation(clock: &dyn Clock) -> u64 {
-    let started = clock.reading().wall_ms();
-    (started << 20) ^ u64::from(rand::random::<u32>())
+/// Returns a number that distinguishes this start of the daemon from earlier ones. It is
+/// made of the wall-clock time in milliseconds and random bits.
+fn new_incarnation(clock: &dyn Clock) -> u64 {
+    let started_ms = clock.reading().wall_ms();
+    (started_ms << 20) ^ u64::from(rand::random::<u32>())
 }
 
+/// Returns the configuration of a server that listens at `listen`. The grace period is
+/// rounded up to whole seconds, since Rocket takes no fractions.
 fn server_config(settings: &DaemonSettings, listen: SocketAddr) -> rocket::Config {
     let grace =
         u32::try_from(settings.timeouts.shutdown_grace_ms.div_ceil(1000)).unwrap_or(u32::MAX);
@@ -202,7 +205,7 @@
         port: listen.port(),
         log_level: rocket::config::LogLevel::Off,
         cli_colors: false,
-        // The order to stop is watched for in [`serve`].
+        // [`serve`] handles the signals.
         shutdown: Shutdown {
             ctrlc: false,
             signals: HashSet::new(),
