--- a/crates/daemon/src/control/directory.rs
+++ b/crates/daemon/src/control/directory.rs
@@ -91,7 +91,7 @@
     /// Applies a change of other hosts' targets. Added or updated targets of this
     /// daemon, whose id is `own_id`, are ignored: its own announcements are newer.
     pub(super) fn apply_change(&mut self, change: &TargetChange, own_id: &str) {
-        if change.reset {
+        if change.is_snapshot {
             self.zone.clear();
             self.scanned.clear();
         }
--- a/crates/daemon/src/control/settings.rs
+++ b/crates/daemon/src/control/settings.rs
@@ -68,12 +68,12 @@
         ControlSettings {
             incarnation,
             mode: settings.distribution,
-            poll_interval: settings.timeouts.poll(),
+            poll_interval: settings.timeouts.poll_interval(),
             target_expiry: settings.timeouts.target_expiry(),
-            lease_duration: settings.relay.lease(),
+            lease_duration: settings.relay.lease_duration(),
             zone_reads_per_second: settings.relay.zone_reads_per_second,
             zone_size_hint: settings.relay.zone_size_hint,
-            staging_timeout: settings.timeouts.stage(),
+            staging_timeout: settings.timeouts.staging_timeout(),
             ..ControlSettings::new(&settings.id, &settings.zone, &address.to_string())
         }
     }
--- a/crates/daemon/src/control/uplink.rs
+++ b/crates/daemon/src/control/uplink.rs
@@ -85,7 +85,7 @@
     pub(super) fn send_heartbeat_if_due(&mut self, effects: &mut Vec<ControlEffect>) {
         if self.at.now >= self.zone.next_heartbeat {
             self.zone.next_heartbeat = self.at.now + HEARTBEAT_INTERVAL;
-            self.send_to_relay(PeerMessage::Beat, effects);
+            self.send_to_relay(PeerMessage::Heartbeat, effects);
         }
     }
 
@@ -157,7 +157,7 @@
             }
             RelayMessage::Zone(membership) => self.zone.membership = membership,
             RelayMessage::Platform { reachable } => self.on_relay_platform(reachable, effects),
-            RelayMessage::Beat { newest } => self.on_relay_heartbeat(newest, effects),
+            RelayMessage::Heartbeat { newest } => self.on_relay_heartbeat(newest, effects),
             RelayMessage::Goodbye { relay } => self.on_goodbye(relay, effects),
         }
     }
@@ -252,7 +252,7 @@
     /// Requests the newest version if the relay's heartbeat names one that has not arrived.
     fn on_relay_heartbeat(&mut self, newest: u64, effects: &mut Vec<ControlEffect>) {
         if newest > self.versions.newest_number() {
-            self.send_to_relay(PeerMessage::NeedWhole, effects);
+            self.send_to_relay(PeerMessage::RequestFullVersion, effects);
         }
     }
 
--- a/crates/daemon/src/control/version.rs
+++ b/crates/daemon/src/control/version.rs
@@ -183,7 +183,7 @@
     pub(super) fn on_floor_known(&mut self, effects: &mut Vec<ControlEffect>) {
         self.versions.floor_known = true;
         if let Some(record) = self.versions.awaiting_floor.take() {
-            self.on_version_update(VersionUpdate::Whole(record), effects);
+            self.on_version_update(VersionUpdate::Full(record), effects);
         }
     }
 
@@ -193,10 +193,10 @@
         effects: &mut Vec<ControlEffect>,
     ) {
         match update {
-            VersionUpdate::Whole(record) if !self.versions.floor_known => {
+            VersionUpdate::Full(record) if !self.versions.floor_known => {
                 self.versions.awaiting_floor = Some(record);
             }
-            VersionUpdate::Whole(record) => {
+            VersionUpdate::Full(record) => {
                 let bytes = VersionCodec::encode(&record).len();
                 self.on_version(&Arc::new(record), bytes, effects);
             }
@@ -206,7 +206,7 @@
                 delta,
             } => {
                 let Some(record) = self.versions.apply_delta(base, number, &delta) else {
-                    self.send_to_relay(PeerMessage::NeedWhole, effects);
+                    self.send_to_relay(PeerMessage::RequestFullVersion, effects);
                     return;
                 };
                 let bytes = VersionCodec::encode_delta(&delta).len();
--- a/crates/daemon/tests/control_cases.rs
+++ b/crates/daemon/tests/control_cases.rs
@@ -417,7 +417,7 @@
         zone: ZoneMembership::default(),
     });
     let targets = RelayMessage::Targets(TargetChange {
-        reset: true,
+        is_snapshot: true,
         ..TargetChange::default()
     });
     for message in [welcome, targets] {
