--- a/crates/daemon/src/limits.rs
+++ b/crates/daemon/src/limits.rs
@@ -1,54 +1,62 @@
-//! The retry budget: how many calls may be sent a second time.
+//! The retry budget, which limits how many calls are sent again.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
 
-/// Share of a service's calls that may be sent again, in hundredths of a call
-/// added to the budget by each call.
-const EARNED_PER_CALL: u32 = 20;
-/// What one retry takes from the budget, in hundredths.
-const RETRY_COST: u32 = 100;
-/// The most a budget holds, and what it starts with, in hundredths: ten retries.
-const BUDGET_LIMIT: u32 = 1_000;
+/// Tokens that each call adds to the budget of the call's service. A token is
+/// a hundredth of a retry, so retries are limited to a fifth of the calls.
+const TOKENS_PER_CALL: u32 = 20;
+/// Tokens that one retry takes from the budget.
+const TOKENS_PER_RETRY: u32 = 100;
+/// Maximum and initial number of tokens of a budget, enough for ten retries.
+const MAX_TOKENS: u32 = 1_000;
 
-/// Per-service retry budgets.
+/// Retry budgets, one for each service.
 ///
-/// Guards against retries that multiply the load of a service in trouble
-/// (seen as an overload that outlasts its cause): a service gets at most a
-/// fifth more calls than its callers made, plus a small reserve.
+/// A service gets at most a fifth more calls than its callers made, plus a
+/// reserve of ten retries. Without the limit, retries multiply the load of a
+/// failing service, and the overload outlasts its cause.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
-    left: Mutex<HashMap<String, u32>>,
+    /// Tokens left, by service.
+    tokens_by_service: Mutex<HashMap<String, u32>>,
 }
 
 impl RetryBudget {
-    fn with<T>(&self, service: &str, act: impl FnOnce(&mut u32) -> T) -> T {
-        // Each budget is one number, so a poisoned lock is still usable.
-        let mut left = self
-            .left
+    fn with_tokens<T>(&self, service: &str, update: impl FnOnce(&mut u32) -> T) -> T {
+        // Each budget is a single number, so a poisoned lock is still usable.
+        let mut tokens_by_service = self
+            .tokens_by_service
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
-        if let Some(budget) = left.get_mut(service) {
-            return act(budget);
+        if let Some(tokens) = tokens_by_service.get_mut(service) {
+            return update(tokens);
         }
-        act(left.entry(service.to_owned()).or_insert(BUDGET_LIMIT))
+        update(
+            tokens_by_service
+                .entry(service.to_owned())
+                .or_insert(MAX_TOKENS),
+        )
     }
 
-    /// Counts a caller's call of `service`.
+    /// Adds the tokens for one call of `service` by a caller.
     pub fn record_call(&self, service: &str) {
-        self.with(service, |left| {
-            *left = (*left + EARNED_PER_CALL).min(BUDGET_LIMIT);
+        self.with_tokens(service, |tokens| {
+            *tokens = (*tokens + TOKENS_PER_CALL).min(MAX_TOKENS);
         });
     }
 
-    /// Takes one retry from the budget; false when there is none left.
+    /// Takes the tokens for one retry from the budget of `service`. Returns
+    /// false, and takes nothing, when too few tokens are left.
     pub fn try_spend(&self, service: &str) -> bool {
-        self.with(service, |left| match left.checked_sub(RETRY_COST) {
-            Some(rest) => {
-                *left = rest;
-                true
+        self.with_tokens(service, |tokens| {
+            match tokens.checked_sub(TOKENS_PER_RETRY) {
+                Some(remaining) => {
+                    *tokens = remaining;
+                    true
+                }
+                None => false,
             }
-            None => false,
         })
     }
 }
