--- a/crates/daemon/src/proxy/answer.rs
+++ b/crates/daemon/src/proxy/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: a target's, passed on whole, or the daemon's own.
+//! Answers to callers, which come from a target or from the daemon itself.
 
 use std::io::Cursor;
 
@@ -8,16 +8,17 @@
 
 use super::{OUTCOME_HEADER, REQUEST_ID_HEADER};
 
-/// Seconds a caller should wait before asking again after a `not-run` answer.
+/// Value of the `Retry-After` header of a `not-run` answer, in seconds.
 pub const RETRY_AFTER_SECONDS: u32 = 1;
-/// The outcome of a call that certainly did not run.
+/// Outcome header value for a call that certainly did not run.
 pub const NOT_RUN: &str = "not-run";
-/// The outcome of a call that may have run.
+/// Outcome header value for a call that may have run.
 pub const UNKNOWN: &str = "unknown";
-/// The outcome of a call that ran before, whose recorded answer this is.
+/// Outcome header value for a call that ran before and is answered from its
+/// record.
 pub const REPLAYED: &str = "replayed";
 
-/// An answer to a caller.
+/// An HTTP answer to a caller.
 #[derive(Clone, Debug)]
 pub struct ProxyAnswer {
     pub(super) status: u16,
@@ -26,8 +27,8 @@
 }
 
 impl ProxyAnswer {
-    /// An answer of the daemon's own.
-    pub(super) fn own(status: u16, request_id: &str, text: &str) -> ProxyAnswer {
+    /// Creates an answer that comes from the daemon, with `text` as its body.
+    pub(super) fn local(status: u16, request_id: &str, text: &str) -> ProxyAnswer {
         let headers = vec![
             (REQUEST_ID_HEADER.to_owned(), request_id.to_owned()),
             (
@@ -42,29 +43,31 @@
         }
     }
 
-    /// The call certainly reached no target that ran it; come back soon.
+    /// Creates a 503 answer: the call certainly did not run, and the caller may
+    /// retry after [`RETRY_AFTER_SECONDS`].
     pub(super) fn not_run(request_id: &str, text: &str) -> ProxyAnswer {
-        Self::own(503, request_id, text)
-            .with(OUTCOME_HEADER, NOT_RUN)
-            .with("retry-after", &RETRY_AFTER_SECONDS.to_string())
+        Self::local(503, request_id, text)
+            .with_header(OUTCOME_HEADER, NOT_RUN)
+            .with_header("retry-after", &RETRY_AFTER_SECONDS.to_string())
     }
 
-    /// The call may or may not have run.
+    /// Creates a 504 answer: the call may have run.
     pub(super) fn unknown(request_id: &str, text: &str) -> ProxyAnswer {
-        Self::own(504, request_id, text).with(OUTCOME_HEADER, UNKNOWN)
+        Self::local(504, request_id, text).with_header(OUTCOME_HEADER, UNKNOWN)
     }
 
-    /// Adds a header.
-    pub(super) fn with(mut self, name: &str, value: &str) -> ProxyAnswer {
+    /// Returns the answer with a header added.
+    pub(super) fn with_header(mut self, name: &str, value: &str) -> ProxyAnswer {
         self.headers.push((name.to_owned(), value.to_owned()));
         self
     }
 
-    /// The first header of this name.
+    /// Returns the value of the first header called `name`. The comparison is
+    /// case-sensitive.
     pub(super) fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
-            .find(|(known, _)| known == name)
+            .find(|(header_name, _)| header_name == name)
             .map(|(_, value)| value.as_str())
     }
 }
--- a/crates/daemon/src/proxy/keyed.rs
+++ b/crates/daemon/src/proxy/keyed.rs
@@ -1,6 +1,6 @@
-//! Calls that must run at most once and carry an idempotency key: claimed
-//! before they are sent, recorded afterwards, answered from the record when
-//! they come again.
+//! Keyed calls, that is, calls with an idempotency key on a route whose calls
+//! must run at most once. A keyed call is claimed before it is sent, its answer
+//! is recorded, and a repeated call is answered from the record.
 
 use std::hash::Hasher;
 
@@ -9,12 +9,13 @@
 
 use super::answer::{ProxyAnswer, REPLAYED};
 use super::attempt::{run_call, CallParts, CallResult};
-use super::claim::{ClaimOutcome, ClaimState, HeldClaim, KeptAnswer, KEY_LIMIT};
+use super::claim::{ClaimOutcome, ClaimState, HeldClaim, RecordedAnswer, MAX_KEY_BYTES};
 use super::{ProxyShared, LOOKUP_HEADER, LOOKUP_PREFIX, OUTCOME_HEADER, REQUEST_ID_HEADER};
 use crate::counters::CallOutcome;
 
-/// Runs a keyed call at most once.
-pub(super) async fn run_keyed(
+/// Sends a keyed call if it can be claimed; otherwise answers the call from its
+/// record or with the reason why it was not sent.
+pub(super) async fn run_keyed_call(
     shared: &ProxyShared,
     route: &RouteEntry,
     call: &CallParts,
@@ -22,34 +23,39 @@
     key: &str,
 ) -> CallResult {
     let request_id = &call.request_id;
-    if !is_usable_key(key) {
-        let text = format!("the idempotency key must be 1 to {KEY_LIMIT} visible ASCII characters");
-        return refused(ProxyAnswer::own(400, request_id, &text));
+    if !is_valid_key(key) {
+        let text =
+            format!("the idempotency key must be 1 to {MAX_KEY_BYTES} visible ASCII characters");
+        return refused_call(ProxyAnswer::local(400, request_id, &text));
     }
-    match shared.claims.claim(member, key, digest(call)).await {
+    match shared
+        .claim_store
+        .claim(member, key, digest_call(call))
+        .await
+    {
         ClaimOutcome::Held(claim) => {
             let mut result = run_call(shared, route, call).await;
-            settle(shared, claim, &result);
+            record_outcome(shared, claim, &result);
             if result.outcome == CallOutcome::Unknown {
-                result.answer = with_lookup(result.answer, key);
+                result.answer = with_lookup_header(result.answer, key);
             }
             result
         }
-        ClaimOutcome::Done(kept) => CallResult {
-            answer: replay(&kept, request_id),
+        ClaimOutcome::Done(recorded) => CallResult {
+            answer: replay(&recorded, request_id),
             outcome: CallOutcome::Replayed,
         },
         ClaimOutcome::InDoubt => {
             let text = "a call with this key may have run; its outcome is not known yet";
             let answer = ProxyAnswer::unknown(request_id, text);
             CallResult {
-                answer: with_lookup(answer, key),
+                answer: with_lookup_header(answer, key),
                 outcome: CallOutcome::Unknown,
             }
         }
-        ClaimOutcome::OtherCall => {
+        ClaimOutcome::KeyReused => {
             let text = "this idempotency key was used for a different call";
-            refused(ProxyAnswer::own(422, request_id, text))
+            refused_call(ProxyAnswer::local(422, request_id, text))
         }
         ClaimOutcome::Unavailable => CallResult {
             answer: ProxyAnswer::not_run(request_id, "the call could not be claimed; not sent"),
@@ -58,44 +64,45 @@
     }
 }
 
-/// Answers `GET /_filbert/calls/KEY`: what is known of a keyed call.
-pub(super) async fn look_up(
+/// Answers `GET /_filbert/calls/KEY` with the recorded outcome of the keyed call.
+pub(super) async fn look_up_outcome(
     shared: &ProxyShared,
     member: &str,
     key: &str,
     request_id: &str,
 ) -> ProxyAnswer {
-    match shared.claims.look_up(member, key).await {
+    match shared.claim_store.look_up_state(member, key).await {
         Ok(None | Some(ClaimState::NotRun)) => {
-            ProxyAnswer::own(404, request_id, "no call with this key has run")
+            ProxyAnswer::local(404, request_id, "no call with this key has run")
         }
         Ok(Some(ClaimState::Sent)) => {
             let text = "a call with this key may have run; its outcome is not known yet";
-            with_lookup(ProxyAnswer::unknown(request_id, text), key)
+            with_lookup_header(ProxyAnswer::unknown(request_id, text), key)
         }
-        Ok(Some(ClaimState::Done(kept))) => replay(&kept, request_id),
-        Err(_) => ProxyAnswer::own(503, request_id, "the platform does not answer")
-            .with("retry-after", "1"),
+        Ok(Some(ClaimState::Done(recorded))) => replay(&recorded, request_id),
+        Err(_) => ProxyAnswer::local(503, request_id, "the platform does not answer")
+            .with_header("retry-after", "1"),
     }
 }
 
-fn refused(answer: ProxyAnswer) -> CallResult {
+fn refused_call(answer: ProxyAnswer) -> CallResult {
     CallResult {
         answer,
         outcome: CallOutcome::Refused,
     }
 }
 
-fn with_lookup(answer: ProxyAnswer, key: &str) -> ProxyAnswer {
-    answer.with(LOOKUP_HEADER, &format!("{LOOKUP_PREFIX}{key}"))
+fn with_lookup_header(answer: ProxyAnswer, key: &str) -> ProxyAnswer {
+    answer.with_header(LOOKUP_HEADER, &format!("{LOOKUP_PREFIX}{key}"))
 }
 
-fn is_usable_key(key: &str) -> bool {
-    !key.is_empty() && key.len() <= KEY_LIMIT && key.bytes().all(|byte| byte.is_ascii_graphic())
+fn is_valid_key(key: &str) -> bool {
+    !key.is_empty() && key.len() <= MAX_KEY_BYTES && key.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
-/// Identifies a call: the same key must come with the same call.
-fn digest(call: &CallParts) -> u64 {
+/// Returns a digest of the call's method, path, query and body, by which a key
+/// that is reused for a different call is detected.
+fn digest_call(call: &CallParts) -> u64 {
     let mut hasher = XxHash64::with_seed(0);
     hasher.write(call.method.as_str().as_bytes());
     hasher.write(call.path_and_query.as_bytes());
@@ -104,36 +111,37 @@
     hasher.finish()
 }
 
-fn settle(shared: &ProxyShared, claim: HeldClaim, result: &CallResult) {
+fn record_outcome(shared: &ProxyShared, claim: HeldClaim, result: &CallResult) {
     let state = match result.outcome {
         CallOutcome::Answered | CallOutcome::Failed => {
             let answer = &result.answer;
-            let kept = KeptAnswer::new(answer.status, answer.header("content-type"), &answer.body);
-            ClaimState::Done(kept)
+            let recorded =
+                RecordedAnswer::new(answer.status, answer.header("content-type"), &answer.body);
+            ClaimState::Done(recorded)
         }
         CallOutcome::NotRun => ClaimState::NotRun,
-        // Left as sent: whether it ran is not known, and it must not run again.
+        // The state stays `Sent`: the call may have run and must not run again.
         CallOutcome::Unknown | CallOutcome::Replayed | CallOutcome::Refused => return,
     };
-    shared.claims.settle(claim, state);
+    shared.claim_store.record_state(claim, state);
 }
 
-fn replay(kept: &KeptAnswer, request_id: &str) -> ProxyAnswer {
-    let Some(body) = &kept.body else {
+fn replay(recorded: &RecordedAnswer, request_id: &str) -> ProxyAnswer {
+    let Some(body) = &recorded.body else {
         let text = format!(
             "this call ran, with status {}; its answer was too large to keep",
-            kept.status
+            recorded.status
         );
-        return ProxyAnswer::own(409, request_id, &text).with(OUTCOME_HEADER, REPLAYED);
+        return ProxyAnswer::local(409, request_id, &text).with_header(OUTCOME_HEADER, REPLAYED);
     };
     let answer = ProxyAnswer {
-        status: kept.status,
+        status: recorded.status,
         headers: vec![(REQUEST_ID_HEADER.to_owned(), request_id.to_owned())],
         body: body.clone(),
     };
-    let answer = answer.with(OUTCOME_HEADER, REPLAYED);
-    match &kept.content_type {
-        Some(content_type) => answer.with("content-type", content_type),
+    let answer = answer.with_header(OUTCOME_HEADER, REPLAYED);
+    match &recorded.content_type {
+        Some(content_type) => answer.with_header("content-type", content_type),
         None => answer,
     }
 }
--- a/crates/daemon/src/proxy/mod.rs
+++ b/crates/daemon/src/proxy/mod.rs
@@ -1,11 +1,12 @@
-//! The proxy: takes a caller's call, finds its route in the version in force,
-//! picks a target of the route's service in this zone, forwards the call and
-//! returns the target's whole answer.
+//! The HTTP proxy. It accepts calls, finds the route of each call in the
+//! applied settings version, forwards the call to a target of the route's
+//! service in this zone, and returns the target's answer once it is complete.
 //!
-//! Answers the daemon makes itself say what happened to the call in the
-//! `x-filbert-outcome` header: `not-run` (503 with `Retry-After`: the call
-//! certainly did not run), `unknown` (504: it may have run) or `replayed`
-//! (it ran before; its recorded answer).
+//! When the daemon answers a valid call itself, the `x-filbert-outcome` header
+//! says what happened to the call: `not-run` (503 with `Retry-After`: the call
+//! certainly did not run), `unknown` (504: the call may have run) or `replayed`
+//! (the call ran before, and the answer comes from its record). Calls that the
+//! daemon refuses with a 400, 404, 413 or 422 status have no such header.
 
 mod answer;
 mod attempt;
@@ -30,68 +31,76 @@
 use crate::targets::{TargetBoard, ZoneTargets};
 pub use answer::{ProxyAnswer, RETRY_AFTER_SECONDS};
 use attempt::CallParts;
-pub use claim::{ClaimBook, ClaimOutcome, ClaimState, HeldClaim, KeptAnswer};
+pub use claim::{ClaimOutcome, ClaimState, ClaimStore, HeldClaim, RecordedAnswer};
 
-/// Header naming the caller's member (customer).
+/// Request header that names the member (customer) that the caller belongs to.
 pub const MEMBER_HEADER: &str = "x-filbert-member";
-/// Header carrying the call's request id, echoed to targets and callers.
+/// Header with the call's request id, sent on to targets and returned to
+/// callers.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Header the daemon sets on answers it makes itself; a target sets it to
-/// `not-run` on an answer to a call it did not run.
+/// Header with the outcome of a call. The daemon sets the header on its own
+/// answers; a target sets `not-run` when it did not run the call.
 pub const OUTCOME_HEADER: &str = "x-filbert-outcome";
-/// Header telling a target which service is meant.
+/// Request header that tells a target which service the call is for.
 pub const SERVICE_HEADER: &str = "x-filbert-service";
-/// Header giving the milliseconds the caller will wait for its answer.
+/// Request header with the time that the caller waits for an answer, in
+/// milliseconds.
 pub const DEADLINE_HEADER: &str = "x-filbert-deadline-ms";
-/// Header naming where the outcome of a keyed call can be looked up.
+/// Response header with the path at which the outcome of a call with an
+/// idempotency key can be looked up.
 pub const LOOKUP_HEADER: &str = "x-filbert-lookup";
-/// Path under which keyed calls can be looked up.
+/// Path prefix for looking up the outcome of a call by its idempotency key.
 pub const LOOKUP_PREFIX: &str = "/_filbert/calls/";
-/// Header carrying the key of a call that must run at most once.
-const KEY_HEADER: &str = "idempotency-key";
-/// Largest call body the proxy forwards.
-const BODY_LIMIT_MIB: u64 = 8;
-/// Headers passed from caller to target.
-const FORWARDED_HEADERS: [&str; 3] = ["content-type", "accept", KEY_HEADER];
-/// Time to connect to a target.
+/// Request header with the idempotency key of a call that must run at most
+/// once.
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
+/// Maximum size of a forwarded call's body, in MiB.
+const MAX_BODY_MIB: u64 = 8;
+/// Request headers that are forwarded to the target.
+const FORWARDED_HEADERS: [&str; 3] = ["content-type", "accept", IDEMPOTENCY_KEY_HEADER];
+/// Timeout for connecting to a target.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Idle time after which a connection to a target is probed.
-const KEEPALIVE: Duration = Duration::from_secs(2);
-/// Probes a target may leave unanswered.
+/// Idle time before the first TCP keepalive probe on a connection to a target,
+/// and the time between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// Number of unanswered TCP keepalive probes after which a connection is
+/// closed.
 const KEEPALIVE_PROBES: u32 = 2;
-/// Idle connections kept per target.
-const IDLE_CONNECTIONS: usize = 8;
+/// Maximum number of idle connections kept open per target.
+const MAX_IDLE_CONNECTIONS_PER_TARGET: usize = 8;
 
-/// The version in force, as the proxy reads it.
+/// The applied settings version, as the proxy reads it.
 #[derive(Debug, Default)]
 pub struct AppliedConfig {
-    /// Its number (0 before the first).
+    /// The version's number; 0 until the first version is applied.
     pub number: u64,
-    /// Its compiled routes.
+    /// The version's compiled routes.
     pub table: Arc<RouteTable>,
 }
 
-/// What the proxy shares with the control loop.
+/// State of the proxy, of which the control loop replaces the settings version
+/// and the targets.
 pub struct ProxyShared {
-    /// The version in force, swapped whole.
+    /// The applied settings version, replaced as a whole.
     pub config: ArcSwap<AppliedConfig>,
-    /// The zone's targets, swapped whole.
+    /// The zone's targets, replaced as a whole.
     pub targets: ArcSwap<ZoneTargets>,
-    /// What this proxy knows of each target from its own calls.
+    /// The calls in flight, load and health that this proxy observed for each
+    /// target.
     pub board: Arc<TargetBoard>,
-    /// Counters.
+    /// The daemon's counters, to which the proxy adds call outcomes.
     pub counters: Arc<DaemonCounters>,
     retries: RetryBudget,
-    claims: ClaimBook,
+    claim_store: ClaimStore,
     clock: Arc<dyn Clock>,
     connections: TargetConnections,
 }
 
-/// How calls reach targets.
+/// The HTTP clients that send calls to targets.
 struct TargetConnections {
-    /// Keeps connections open for the next call.
+    /// Reuses connections from a pool.
     kept: reqwest::Client,
-    /// Opens a connection for each call.
+    /// Opens a new connection for each attempt.
     fresh: reqwest::Client,
 }
 
@@ -102,12 +111,13 @@
                 .connect_timeout(CONNECT_TIMEOUT)
                 .redirect(reqwest::redirect::Policy::none())
         };
-        // Guards against kept connections that went silent for good: idle
-        // ones are probed and dropped, so that few calls meet one.
+        // Idle connections are probed and closed when the probes stay
+        // unanswered, so that few calls are sent on a connection whose other
+        // end no longer responds.
         let kept = builder()
-            .pool_max_idle_per_host(IDLE_CONNECTIONS)
-            .tcp_keepalive(KEEPALIVE)
-            .tcp_keepalive_interval(KEEPALIVE)
+            .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS_PER_TARGET)
+            .tcp_keepalive(KEEPALIVE_INTERVAL)
+            .tcp_keepalive_interval(KEEPALIVE_INTERVAL)
             .tcp_keepalive_retries(KEEPALIVE_PROBES);
         let fresh = builder().pool_max_idle_per_host(0);
         let build = |builder: reqwest::ClientBuilder| {
@@ -123,10 +133,10 @@
 }
 
 impl ProxyShared {
-    /// A proxy with nothing applied yet.
+    /// Creates the state of a proxy that has no settings version and no targets.
     ///
     /// # Panics
-    /// When the TLS-less HTTP clients cannot be built.
+    /// If the HTTP clients, which use no TLS, cannot be built.
     #[must_use]
     pub fn new(
         counters: Arc<DaemonCounters>,
@@ -139,21 +149,21 @@
             board: Arc::new(TargetBoard::default()),
             counters,
             retries: RetryBudget::default(),
-            claims: ClaimBook::new(platform),
+            claim_store: ClaimStore::new(platform),
             clock,
             connections: TargetConnections::new(),
         }
     }
 }
 
-/// The rocket handler that proxies every method and path.
+/// The Rocket handler that forwards calls of every path.
 #[derive(Clone)]
 pub struct ProxyHandler {
     shared: Arc<ProxyShared>,
 }
 
 impl ProxyHandler {
-    /// Routes for every method the proxy forwards.
+    /// Returns a catch-all route for each method that the proxy forwards.
     #[must_use]
     pub fn routes(shared: Arc<ProxyShared>) -> Vec<Route> {
         let handler = ProxyHandler { shared };
@@ -182,24 +192,24 @@
     let header = |name: &str| request.headers().get_one(name);
     let request_id = header(REQUEST_ID_HEADER).map_or_else(new_request_id, str::to_owned);
     let Some(member) = header(MEMBER_HEADER) else {
-        return ProxyAnswer::own(400, &request_id, "missing x-filbert-member header");
+        return ProxyAnswer::local(400, &request_id, "missing x-filbert-member header");
     };
     let path = request.uri().path().as_str();
     if let Some(key) = path.strip_prefix(LOOKUP_PREFIX) {
-        return keyed::look_up(shared, member, key, &request_id).await;
+        return keyed::look_up_outcome(shared, member, key, &request_id).await;
     }
     let config = shared.config.load_full();
     if config.number == 0 {
         return ProxyAnswer::not_run(&request_id, "no settings version in force yet");
     }
     let Some(route) = config.table.lookup(member, path) else {
-        return ProxyAnswer::own(404, &request_id, "no route for this member and path");
+        return ProxyAnswer::local(404, &request_id, "no route for this member and path");
     };
-    let Ok(body) = data.open(BODY_LIMIT_MIB.mebibytes()).into_bytes().await else {
-        return ProxyAnswer::own(400, &request_id, "call body unreadable");
+    let Ok(body) = data.open(MAX_BODY_MIB.mebibytes()).into_bytes().await else {
+        return ProxyAnswer::local(400, &request_id, "call body unreadable");
     };
     if !body.is_complete() {
-        return ProxyAnswer::own(413, &request_id, "call body too large");
+        return ProxyAnswer::local(413, &request_id, "call body too large");
     }
     let call = CallParts {
         method: request.method(),
@@ -210,11 +220,11 @@
             .collect(),
         body: body.into_inner(),
         request_id,
-        deadline: shared.clock.now() + call_time(route, header(DEADLINE_HEADER)),
+        deadline: shared.clock.now() + call_timeout(route, header(DEADLINE_HEADER)),
     };
-    let result = match header(KEY_HEADER) {
+    let result = match header(IDEMPOTENCY_KEY_HEADER) {
         Some(key) if route.settings.at_most_once => {
-            keyed::run_keyed(shared, route, &call, member, key).await
+            keyed::run_keyed_call(shared, route, &call, member, key).await
         }
         _ => attempt::run_call(shared, route, &call).await,
     };
@@ -226,9 +236,9 @@
     format!("{:016x}", rand::random::<u64>())
 }
 
-/// Time a call may take: the route's timeout, or what the caller will wait if
-/// that is shorter.
-fn call_time(route: &RouteEntry, deadline_ms: Option<&str>) -> Duration {
+/// Returns the time that a call may take: the route's timeout, or the time that
+/// the caller waits if that is shorter. A malformed `deadline_ms` is ignored.
+fn call_timeout(route: &RouteEntry, deadline_ms: Option<&str>) -> Duration {
     deadline_ms
         .and_then(|text| text.parse().ok())
         .map(Duration::from_millis)
