--- a/crates/daemon/src/proxy/attempt.rs
+++ b/crates/daemon/src/proxy/attempt.rs
@@ -1,4 +1,5 @@
-//! Sending a call to targets: one attempt after another, as the policy allows.
+//! Sends a call to targets, with the retries and hedged attempts that the
+//! policy allows.
 
 use std::pin::pin;
 use std::time::{Duration, Instant};
@@ -8,88 +9,92 @@
 
 use super::answer::{ProxyAnswer, NOT_RUN};
 use super::policy::{
-    first_connection, is_repeatable, next_step, no_more_attempts, second_attempt_after, AttemptEnd,
-    ConnectionKind, NextStep, RetryAllowance,
+    connection_kind, final_step, hedge_delay, is_repeatable, next_step, AttemptEnd, ConnectionKind,
+    NextStep, RetryAllowance,
 };
 use super::{ProxyShared, OUTCOME_HEADER, REQUEST_ID_HEADER, SERVICE_HEADER};
 use crate::counters::CallOutcome;
-use crate::targets::{SlotGuard, TargetBoard, TargetChoice, TargetSign};
+use crate::targets::{PlacementRequest, SlotGuard, TargetOutcome, TargetTable};
 
-/// Header in which a target reports its load with an answer.
+/// Response header with which a target reports its load.
 const LOAD_HEADER: &str = "x-filbert-load";
-/// Status of a target that is not the service meant.
-const MISDIRECTED: u16 = 421;
+/// Status of a target that is not of the service that the call is for (HTTP
+/// 421, Misdirected Request).
+const MISDIRECTED_REQUEST: u16 = 421;
 
-/// The parts of a caller's call the proxy forwards.
+/// The parts of a caller's call that are forwarded to the target.
 #[derive(Clone, Debug)]
-pub(super) struct CallParts {
+pub(super) struct ForwardedCall {
     pub(super) method: Method,
     pub(super) path_and_query: String,
     pub(super) headers: Vec<(&'static str, String)>,
     pub(super) body: Vec<u8>,
     pub(super) request_id: String,
-    /// When the caller must have its answer.
+    /// The time at which the caller must have the answer.
     pub(super) deadline: Instant,
 }
 
-/// The answer to a call and how it counts.
+/// The answer to a call, and the outcome under which the call is counted.
 pub(super) struct CallResult {
     pub(super) answer: ProxyAnswer,
     pub(super) outcome: CallOutcome,
 }
 
-/// One attempt: how it ended, and the target's answer where there is one.
+/// The result of one attempt; `answer` is set if the attempt was answered.
 struct Attempt {
     end: AttemptEnd,
     answer: Option<ProxyAnswer>,
 }
 
-/// Sends a call to targets until one answers or the policy says stop.
+/// Sends a call to one target after another until a target answers or the
+/// policy allows no further attempt.
 pub(super) async fn run_call(
     shared: &ProxyShared,
     route: &RouteEntry,
-    call: &CallParts,
+    call: &ForwardedCall,
 ) -> CallResult {
-    shared.retries.record_call(&route.service);
-    let mut run = CallRun {
+    shared.retry_budget.record_call(&route.service);
+    let mut dispatch = CallDispatch {
         shared,
         route,
         call,
         repeatable: is_repeatable(call.method, &route.settings),
-        tried: Vec::new(),
+        tried_addresses: Vec::new(),
         may_have_run: false,
     };
     loop {
-        let Some(slot) = run.choose() else {
-            // No target can take the call now. The caller is told at once,
-            // with when to come back, rather than held until its deadline.
-            let step = no_more_attempts(run.allowance(false));
-            return finish(step, None, &route.service, call);
+        let Some(slot) = dispatch.choose_target() else {
+            // No target has a free slot. The caller is answered at once, with
+            // a `Retry-After` header if the call certainly did not run, rather
+            // than kept waiting until the deadline.
+            let step = final_step(dispatch.allowance(false));
+            return call_result(step, None, &route.service, call);
         };
-        let attempt = run.attempt_with_second(slot).await;
-        let another = run.may_send_again(attempt.end);
-        match next_step(attempt.end, run.allowance(another)) {
+        let attempt = dispatch.attempt_with_hedge(slot).await;
+        let can_retry = dispatch.try_reserve_retry(attempt.end);
+        match next_step(attempt.end, dispatch.allowance(can_retry)) {
             NextStep::SendAgain => {}
-            step => return finish(step, attempt.answer, &route.service, call),
+            step => return call_result(step, attempt.answer, &route.service, call),
         }
     }
 }
 
-/// A call on its way: what was tried for it so far.
-struct CallRun<'a> {
+/// The state of one call while it is sent to targets.
+struct CallDispatch<'a> {
     shared: &'a ProxyShared,
     route: &'a RouteEntry,
-    call: &'a CallParts,
+    call: &'a ForwardedCall,
     repeatable: bool,
-    tried: Vec<String>,
+    /// The address of each attempt's target, hedged attempts included.
+    tried_addresses: Vec<String>,
     may_have_run: bool,
 }
 
-impl<'a> CallRun<'a> {
+impl<'a> CallDispatch<'a> {
     fn retries_left(&self) -> u32 {
-        let made = u32::try_from(self.tried.len()).unwrap_or(u32::MAX);
+        let attempts = u32::try_from(self.tried_addresses.len()).unwrap_or(u32::MAX);
         // The first attempt is not a retry.
-        (self.route.settings.retries + 1).saturating_sub(made)
+        (self.route.settings.retries + 1).saturating_sub(attempts)
     }
 
     fn time_left(&self) -> Duration {
@@ -97,150 +102,157 @@
         self.call.deadline.saturating_duration_since(now)
     }
 
-    fn allowance(&self, another: bool) -> RetryAllowance {
+    fn allowance(&self, can_retry: bool) -> RetryAllowance {
         RetryAllowance {
             repeatable: self.repeatable,
             may_have_run: self.may_have_run,
-            another,
+            can_retry,
         }
     }
 
-    /// Picks the next target and counts it as tried.
-    fn choose(&mut self) -> Option<SlotGuard> {
-        let slot = self.acquire(&self.tried)?;
-        self.tried.push(slot.address().to_owned());
+    /// Takes a slot on a target that was not tried yet, and adds the target's
+    /// address to the tried ones.
+    fn choose_target(&mut self) -> Option<SlotGuard> {
+        let slot = self.acquire_slot(&self.tried_addresses)?;
+        self.tried_addresses.push(slot.address().to_owned());
         Some(slot)
     }
 
-    /// Picks the target of a second attempt: another one where there is one,
-    /// or the same, since it may be the connection that hangs.
-    fn choose_second(&mut self) -> Option<SlotGuard> {
-        let slot = self.acquire(&self.tried).or_else(|| self.acquire(&[]))?;
-        self.tried.push(slot.address().to_owned());
+    /// Takes a slot for a hedged attempt, on a target that was not tried yet if
+    /// there is one. Otherwise a tried target is used again, since the fault may
+    /// be in the connection rather than in the target.
+    fn choose_hedge_target(&mut self) -> Option<SlotGuard> {
+        let slot = self
+            .acquire_slot(&self.tried_addresses)
+            .or_else(|| self.acquire_slot(&[]))?;
+        self.tried_addresses.push(slot.address().to_owned());
         Some(slot)
     }
 
-    fn acquire(&self, tried: &[String]) -> Option<SlotGuard> {
+    fn acquire_slot(&self, excluded: &[String]) -> Option<SlotGuard> {
         let targets = self.shared.targets.load();
-        let choice = TargetChoice {
+        let request = PlacementRequest {
             targets: &targets,
             service: &self.route.service,
-            slots: self.route.settings.slots_per_target,
-            tried,
+            slots_per_target: self.route.settings.slots_per_target,
+            excluded,
         };
-        TargetBoard::acquire(&self.shared.board, choice, self.shared.clock.now())
+        TargetTable::acquire_slot(&self.shared.target_table, request, self.shared.clock.now())
     }
 
-    /// The attempt on the target whose slot is held, over `connection`.
-    fn attempt(&self, slot: SlotGuard, connection: ConnectionKind) -> AttemptOn<'a> {
-        AttemptOn {
+    /// Prepares an attempt on the target of `slot`, over the given kind of
+    /// connection.
+    fn attempt(&self, slot: SlotGuard, connection: ConnectionKind) -> PendingAttempt<'a> {
+        PendingAttempt {
             shared: self.shared,
             route: self.route,
             call: self.call,
             slot,
-            time: self.time_left(),
+            timeout: self.time_left(),
             connection,
         }
     }
 
-    /// Whether the call may be sent once more after an attempt that ended so;
-    /// takes the retry from the service's budget if so.
-    fn may_send_again(&self, end: AttemptEnd) -> bool {
-        let allowed = match end {
+    /// Returns whether the call may be sent again after an attempt that ended
+    /// with `end`. If so, the retry is taken from the service's retry budget.
+    fn try_reserve_retry(&self, end: AttemptEnd) -> bool {
+        let is_retryable = match end {
             AttemptEnd::Answered => false,
             AttemptEnd::Lost => self.repeatable,
             AttemptEnd::Declined | AttemptEnd::NotConnected => true,
         };
-        let possible = self.retries_left() > 0 && !self.time_left().is_zero();
-        allowed && possible && self.shared.retries.try_spend(&self.route.service)
+        let has_retries_and_time = self.retries_left() > 0 && !self.time_left().is_zero();
+        is_retryable
+            && has_retries_and_time
+            && self.shared.retry_budget.try_spend(&self.route.service)
     }
 
-    /// Makes an attempt and, when it takes long and the policy allows, a
-    /// second one beside it; the first whole answer counts.
-    async fn attempt_with_second(&mut self, slot: SlotGuard) -> Attempt {
-        let wait = second_attempt_after(self.time_left(), self.retries_left(), self.repeatable);
-        let connection = first_connection(self.repeatable);
-        let first = self.attempt(slot, connection).make();
-        let mut first = pin!(first);
-        let Some(wait) = wait else {
-            return self.note_end(first.await);
+    /// Runs an attempt and, if the attempt exceeds the hedge delay and the policy
+    /// allows, a hedged attempt in parallel. The first complete answer is used.
+    async fn attempt_with_hedge(&mut self, slot: SlotGuard) -> Attempt {
+        let delay = hedge_delay(self.time_left(), self.retries_left(), self.repeatable);
+        let connection = connection_kind(self.repeatable);
+        let primary = self.attempt(slot, connection).run();
+        let mut primary = pin!(primary);
+        let Some(delay) = delay else {
+            return self.record_end(primary.await);
         };
-        if let Ok(attempt) = tokio::time::timeout(wait, first.as_mut()).await {
-            return self.note_end(attempt);
+        if let Ok(attempt) = tokio::time::timeout(delay, primary.as_mut()).await {
+            return self.record_end(attempt);
         }
-        if !self.shared.retries.try_spend(&self.route.service) {
-            return self.note_end(first.await);
+        if !self.shared.retry_budget.try_spend(&self.route.service) {
+            return self.record_end(primary.await);
         }
-        let Some(slot) = self.choose_second() else {
-            return self.note_end(first.await);
+        let Some(slot) = self.choose_hedge_target() else {
+            return self.record_end(primary.await);
         };
-        let mut second = pin!(self.attempt(slot, ConnectionKind::Fresh).make());
+        let mut hedged = pin!(self.attempt(slot, ConnectionKind::New).run());
         let attempt = tokio::select! {
-            attempt = first.as_mut() => match attempt.end {
+            attempt = primary.as_mut() => match attempt.end {
                 AttemptEnd::Answered => attempt,
-                _ => second.await,
+                _ => hedged.await,
             },
-            attempt = second.as_mut() => match attempt.end {
+            attempt = hedged.as_mut() => match attempt.end {
                 AttemptEnd::Answered => attempt,
-                _ => first.await,
+                _ => primary.await,
             },
         };
-        // The one that lost may have run the call as well.
+        // The attempt whose answer is not used may have run the call as well.
         self.may_have_run = true;
         attempt
     }
 
-    fn note_end(&mut self, attempt: Attempt) -> Attempt {
+    fn record_end(&mut self, attempt: Attempt) -> Attempt {
         self.may_have_run |= attempt.end == AttemptEnd::Lost;
         attempt
     }
 }
 
-/// One attempt: what is sent to whom, over which connection.
-struct AttemptOn<'a> {
+/// An attempt that is ready to be sent to the target of its slot.
+struct PendingAttempt<'a> {
     shared: &'a ProxyShared,
     route: &'a RouteEntry,
-    call: &'a CallParts,
+    call: &'a ForwardedCall,
     slot: SlotGuard,
-    time: Duration,
+    timeout: Duration,
     connection: ConnectionKind,
 }
 
-impl AttemptOn<'_> {
-    /// Makes the attempt and takes note of how it went.
-    async fn make(self) -> Attempt {
+impl PendingAttempt<'_> {
+    /// Sends the call to the target and records the outcome in the target table.
+    async fn run(self) -> Attempt {
         let attempt = self.send().await;
-        note_sign(self.shared, self.slot.address(), &attempt);
+        record_target_outcome(self.shared, self.slot.address(), &attempt);
         attempt
     }
 
     async fn send(&self) -> Attempt {
         let (call, address) = (self.call, self.slot.address());
-        let connections = &self.shared.connections;
+        let clients = &self.shared.target_clients;
         let client = match self.connection {
-            ConnectionKind::Kept => &connections.kept,
-            ConnectionKind::Fresh => &connections.fresh,
+            ConnectionKind::Pooled => &clients.pooled,
+            ConnectionKind::New => &clients.unpooled,
         };
         let ended = |end| Attempt { end, answer: None };
         let method = reqwest::Method::from_bytes(call.method.as_str().as_bytes())
             .unwrap_or(reqwest::Method::GET);
-        let mut outgoing = client
+        let mut request = client
             .request(method, format!("http://{address}{}", call.path_and_query))
-            .timeout(self.time)
+            .timeout(self.timeout)
             .header(REQUEST_ID_HEADER, &call.request_id)
             .header(SERVICE_HEADER, &self.route.service)
             .body(call.body.clone());
         for (name, value) in &call.headers {
-            outgoing = outgoing.header(*name, value);
+            request = request.header(*name, value);
         }
-        let reply = match outgoing.send().await {
-            Ok(reply) => reply,
+        let response = match request.send().await {
+            Ok(response) => response,
             Err(error) if error.is_connect() => return ended(AttemptEnd::NotConnected),
             Err(_) => return ended(AttemptEnd::Lost),
         };
-        let status = reply.status().as_u16();
+        let status = response.status().as_u16();
         let header = |name: &str| {
-            let value = reply.headers().get(name)?.to_str().ok()?;
+            let value = response.headers().get(name)?.to_str().ok()?;
             Some((name.to_owned(), value.to_owned()))
         };
         let mut headers = vec![
@@ -248,14 +260,14 @@
             ("x-filbert-target".to_owned(), address.to_owned()),
         ];
         headers.extend(["content-type", LOAD_HEADER].into_iter().filter_map(header));
-        // Guards against calls that go to an address which another service has
-        // taken over since (seen as one service's call run by another): a target
-        // is told which service is meant and declines when it is not that one.
-        let declined = status == MISDIRECTED
+        // The service header lets a target decline a call for another service.
+        // Without the check, a call sent to an address that another service has
+        // taken over would run on the wrong service.
+        let declined = status == MISDIRECTED_REQUEST
             || header(OUTCOME_HEADER).is_some_and(|(_, outcome)| outcome == NOT_RUN);
-        // The whole answer is read before anything goes back, so a caller never
-        // gets a cut answer that looks complete.
-        match reply.bytes().await {
+        // The complete answer is read before any of it is returned, so that a
+        // caller never gets a truncated answer that looks complete.
+        match response.bytes().await {
             _ if declined => ended(AttemptEnd::Declined),
             Ok(bytes) => Attempt {
                 end: AttemptEnd::Answered,
@@ -270,11 +282,11 @@
     }
 }
 
-fn finish(
+fn call_result(
     step: NextStep,
     answer: Option<ProxyAnswer>,
     service: &str,
-    call: &CallParts,
+    call: &ForwardedCall,
 ) -> CallResult {
     match (step, answer) {
         (NextStep::PassOn, Some(answer)) => {
@@ -305,7 +317,7 @@
     }
 }
 
-fn note_sign(shared: &ProxyShared, address: &str, attempt: &Attempt) {
+fn record_target_outcome(shared: &ProxyShared, address: &str, attempt: &Attempt) {
     let failed = attempt
         .answer
         .as_ref()
@@ -314,11 +326,13 @@
         .answer
         .as_ref()
         .and_then(|answer| answer.header(LOAD_HEADER)?.parse().ok());
-    let sign = match attempt.end {
-        AttemptEnd::Answered if failed => TargetSign::Ill,
-        AttemptEnd::Answered => TargetSign::Well { load },
-        AttemptEnd::Declined => TargetSign::Full,
-        AttemptEnd::NotConnected | AttemptEnd::Lost => TargetSign::Ill,
+    let outcome = match attempt.end {
+        AttemptEnd::Answered if failed => TargetOutcome::Failure,
+        AttemptEnd::Answered => TargetOutcome::Success { load },
+        AttemptEnd::Declined => TargetOutcome::Declined,
+        AttemptEnd::NotConnected | AttemptEnd::Lost => TargetOutcome::Failure,
     };
-    shared.board.note(address, sign, shared.clock.now());
+    shared
+        .target_table
+        .record_outcome(address, outcome, shared.clock.now());
 }
--- a/crates/daemon/src/proxy/claim.rs
+++ b/crates/daemon/src/proxy/claim.rs
@@ -101,7 +101,8 @@
 enum RowCheck {
     /// No further claim attempt is needed.
     Decided(ClaimOutcome),
-    /// No holder has claimed the call; a write with this condition claims it.
+    /// The call is not claimed, or it was claimed and certainly did not run. A
+    /// write with this condition claims the call.
     Claimable(WriteCondition),
 }
 
--- a/crates/daemon/src/proxy/keyed.rs
+++ b/crates/daemon/src/proxy/keyed.rs
@@ -8,7 +8,7 @@
 use twox_hash::XxHash64;
 
 use super::answer::{ProxyAnswer, REPLAYED};
-use super::attempt::{run_call, CallParts, CallResult};
+use super::attempt::{run_call, CallResult, ForwardedCall};
 use super::claim::{ClaimOutcome, ClaimState, HeldClaim, RecordedAnswer, MAX_KEY_BYTES};
 use super::{ProxyShared, LOOKUP_HEADER, LOOKUP_PREFIX, OUTCOME_HEADER, REQUEST_ID_HEADER};
 use crate::counters::CallOutcome;
@@ -18,7 +18,7 @@
 pub(super) async fn run_keyed_call(
     shared: &ProxyShared,
     route: &RouteEntry,
-    call: &CallParts,
+    call: &ForwardedCall,
     member: &str,
     key: &str,
 ) -> CallResult {
@@ -102,7 +102,7 @@
 
 /// Returns a digest of the call's method, path, query and body, by which a key
 /// that is reused for a different call is detected.
-fn digest_call(call: &CallParts) -> u64 {
+fn digest_call(call: &ForwardedCall) -> u64 {
     let mut hasher = XxHash64::with_seed(0);
     hasher.write(call.method.as_str().as_bytes());
     hasher.write(call.path_and_query.as_bytes());
--- a/crates/daemon/src/proxy/mod.rs
+++ b/crates/daemon/src/proxy/mod.rs
@@ -28,9 +28,9 @@
 use crate::clock::Clock;
 use crate::counters::DaemonCounters;
 use crate::limits::RetryBudget;
-use crate::targets::{TargetBoard, ZoneTargets};
+use crate::targets::{TargetTable, ZoneTargets};
 pub use answer::{ProxyAnswer, RETRY_AFTER_SECONDS};
-use attempt::CallParts;
+use attempt::ForwardedCall;
 pub use claim::{ClaimOutcome, ClaimState, ClaimStore, HeldClaim, RecordedAnswer};
 
 /// Request header that names the member (customer) that the caller belongs to.
@@ -87,25 +87,25 @@
     pub targets: ArcSwap<ZoneTargets>,
     /// The calls in flight, load and health that this proxy observed for each
     /// target.
-    pub board: Arc<TargetBoard>,
+    pub target_table: Arc<TargetTable>,
     /// The daemon's counters, to which the proxy adds call outcomes.
     pub counters: Arc<DaemonCounters>,
-    retries: RetryBudget,
+    retry_budget: RetryBudget,
     claim_store: ClaimStore,
     clock: Arc<dyn Clock>,
-    connections: TargetConnections,
+    target_clients: TargetClients,
 }
 
 /// The HTTP clients that send calls to targets.
-struct TargetConnections {
+struct TargetClients {
     /// Reuses connections from a pool.
-    kept: reqwest::Client,
+    pooled: reqwest::Client,
     /// Opens a new connection for each attempt.
-    fresh: reqwest::Client,
+    unpooled: reqwest::Client,
 }
 
-impl TargetConnections {
-    fn new() -> TargetConnections {
+impl TargetClients {
+    fn new() -> TargetClients {
         let builder = || {
             reqwest::Client::builder()
                 .connect_timeout(CONNECT_TIMEOUT)
@@ -114,20 +114,20 @@
         // Idle connections are probed and closed when the probes stay
         // unanswered, so that few calls are sent on a connection whose other
         // end no longer responds.
-        let kept = builder()
+        let pooled = builder()
             .pool_max_idle_per_host(MAX_IDLE_CONNECTIONS_PER_TARGET)
             .tcp_keepalive(KEEPALIVE_INTERVAL)
             .tcp_keepalive_interval(KEEPALIVE_INTERVAL)
             .tcp_keepalive_retries(KEEPALIVE_PROBES);
-        let fresh = builder().pool_max_idle_per_host(0);
+        let unpooled = builder().pool_max_idle_per_host(0);
         let build = |builder: reqwest::ClientBuilder| {
             builder
                 .build()
                 .expect("an HTTP client without TLS always builds")
         };
-        TargetConnections {
-            kept: build(kept),
-            fresh: build(fresh),
+        TargetClients {
+            pooled: build(pooled),
+            unpooled: build(unpooled),
         }
     }
 }
@@ -146,12 +146,12 @@
         ProxyShared {
             config: ArcSwap::from_pointee(AppliedConfig::default()),
             targets: ArcSwap::from_pointee(ZoneTargets::default()),
-            board: Arc::new(TargetBoard::default()),
+            target_table: Arc::new(TargetTable::default()),
             counters,
-            retries: RetryBudget::default(),
+            retry_budget: RetryBudget::default(),
             claim_store: ClaimStore::new(platform),
             clock,
-            connections: TargetConnections::new(),
+            target_clients: TargetClients::new(),
         }
     }
 }
@@ -211,7 +211,7 @@
     if !body.is_complete() {
         return ProxyAnswer::local(413, &request_id, "call body too large");
     }
-    let call = CallParts {
+    let call = ForwardedCall {
         method: request.method(),
         path_and_query: request.uri().to_string(),
         headers: FORWARDED_HEADERS
--- a/crates/daemon/src/proxy/policy.rs
+++ b/crates/daemon/src/proxy/policy.rs
@@ -1,51 +1,54 @@
-//! What may be done with a call after an attempt: the rules that keep a call
-//! from running twice and a caller from being told the wrong thing.
+//! The retry policy: what follows an attempt, over which kind of connection a
+//! call is sent, and when a hedged attempt starts. The rules keep a call that
+//! must not be repeated from running twice, and a caller from getting a wrong
+//! outcome.
 
 use std::time::Duration;
 
 use filbert_tree::RouteSettings;
 use rocket::http::Method;
 
-/// How one attempt at a target ended.
+/// How one attempt to send a call to a target ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The target gave its whole answer.
+    /// The target's complete answer arrived.
     Answered,
-    /// The target said that it did not run the call (draining, shedding load,
-    /// or not the service meant).
+    /// The target answered that it did not run the call (draining, shedding
+    /// load, or not of the service that the call is for).
     Declined,
-    /// The connection was never made, so the target never saw the call.
+    /// No connection was established, so the target did not receive the call.
     NotConnected,
-    /// The call may have reached the target; no whole answer came.
+    /// The call may have reached the target, but no complete answer arrived.
     Lost,
 }
 
-/// What to do next.
+/// What the proxy does after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Pass the target's answer on.
+    /// Return the target's answer to the caller.
     PassOn,
     /// Send the call to another target.
     SendAgain,
-    /// Answer that the call was not run.
+    /// Answer that the call did not run.
     SayNotRun,
-    /// Answer that the outcome is unknown.
+    /// Answer that the call may have run.
     SayUnknown,
 }
 
-/// What is left for a call after an attempt.
+/// The conditions that decide whether a call is retried after an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryAllowance {
-    /// Whether running the call twice does no harm.
+    /// Whether the call may run more than once.
     pub repeatable: bool,
-    /// Whether an earlier attempt may have run it.
+    /// Whether one of the call's attempts may have run the call.
     pub may_have_run: bool,
-    /// Whether attempts, time and the retry budget allow another one.
-    pub another: bool,
+    /// Whether the route's number of retries, the time left and the retry
+    /// budget allow another attempt.
+    pub can_retry: bool,
 }
 
-/// Whether a call on a route may run twice: the route does not forbid it and
-/// the method is idempotent.
+/// Returns whether a call may run more than once: its method is idempotent and
+/// its route is not marked at-most-once.
 #[must_use]
 pub fn is_repeatable(method: Method, settings: &RouteSettings) -> bool {
     let idempotent = matches!(
@@ -57,25 +60,28 @@
 
 /// Decides what follows an attempt.
 ///
-/// Guards against a call that runs twice: once an attempt may have run it,
-/// only a repeatable call is sent again; any other ends as unknown. Guards
-/// against telling a caller "not run" of a call that ran: that is said only
-/// when every attempt ended before the target could have run it.
+/// After an attempt that may have run the call, only a repeatable call is sent
+/// again; any other call ends with the outcome unknown, so that it cannot run
+/// twice. The outcome is "not run" only if every attempt ended before a target
+/// could have run the call, so that no caller is told "not run" for a call
+/// that ran.
 #[must_use]
 pub fn next_step(end: AttemptEnd, allowance: RetryAllowance) -> NextStep {
     match end {
         AttemptEnd::Answered => NextStep::PassOn,
-        AttemptEnd::Declined | AttemptEnd::NotConnected if allowance.another => NextStep::SendAgain,
-        AttemptEnd::Lost if allowance.another && allowance.repeatable => NextStep::SendAgain,
+        AttemptEnd::Declined | AttemptEnd::NotConnected if allowance.can_retry => {
+            NextStep::SendAgain
+        }
+        AttemptEnd::Lost if allowance.can_retry && allowance.repeatable => NextStep::SendAgain,
         AttemptEnd::Lost => NextStep::SayUnknown,
-        AttemptEnd::Declined | AttemptEnd::NotConnected => no_more_attempts(allowance),
+        AttemptEnd::Declined | AttemptEnd::NotConnected => final_step(allowance),
     }
 }
 
-/// What to say when there is no further attempt and the last one did not run
-/// the call.
+/// Returns the step that ends a call when no further attempt is made and the
+/// last attempt did not run the call.
 #[must_use]
-pub fn no_more_attempts(allowance: RetryAllowance) -> NextStep {
+pub fn final_step(allowance: RetryAllowance) -> NextStep {
     if allowance.may_have_run {
         NextStep::SayUnknown
     } else {
@@ -83,42 +89,40 @@
     }
 }
 
-/// Which kind of connection to a target an attempt goes over.
+/// The kind of connection on which an attempt is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionKind {
-    /// One kept open from an earlier call, where there is one.
-    Kept,
-    /// One opened for this attempt.
-    Fresh,
+    /// A connection from the pool; a new one if the pool has none.
+    Pooled,
+    /// A connection that is opened for this attempt alone.
+    New,
 }
 
-/// Which connection a first attempt goes over.
+/// Returns the kind of connection for an attempt that is not hedged.
 ///
-/// Guards against an order that ends as unknown because the kept connection
-/// it was sent on had gone silent for good: a call that may not be sent
-/// again gets a connection of its own, which costs it about 1 ms. A
-/// repeatable call takes a kept one and has its second attempt besides.
+/// A call that is not repeatable gets a new connection, which costs about
+/// 1 ms. On a pooled connection whose other end no longer responds, the call
+/// would be lost and its outcome unknown. A repeatable call uses a pooled
+/// connection, as a hedged attempt can still answer the call.
 #[must_use]
-pub fn first_connection(repeatable: bool) -> ConnectionKind {
+pub fn connection_kind(repeatable: bool) -> ConnectionKind {
     if repeatable {
-        ConnectionKind::Kept
+        ConnectionKind::Pooled
     } else {
-        ConnectionKind::Fresh
+        ConnectionKind::New
     }
 }
 
-/// How long to wait for an attempt before a second one is started beside it,
-/// on another target where there is one and on a connection of its own; `None` when there must not be one.
+/// Returns how long an attempt may run before a hedged attempt starts in
+/// parallel: the time left, divided equally among the running attempt and the
+/// retries left. Returns `None` if the call is not repeatable or has no
+/// retries left.
 ///
-/// Guards against a connection that went silent taking the whole time a
-/// caller has: the second attempt answers while the first still hangs. The
-/// first is not given up for it, so a target that is merely slow still
-/// answers its call.
+/// The hedged attempt uses a new connection, and another target if there is
+/// one. Otherwise a connection whose other end no longer responds would use up
+/// the call's whole deadline. The running attempt continues, so that a target
+/// that is only slow can still answer.
 #[must_use]
-pub fn second_attempt_after(
-    left: Duration,
-    retries_left: u32,
-    repeatable: bool,
-) -> Option<Duration> {
-    (repeatable && retries_left > 0).then(|| left / (retries_left + 1))
+pub fn hedge_delay(time_left: Duration, retries_left: u32, repeatable: bool) -> Option<Duration> {
+    (repeatable && retries_left > 0).then(|| time_left / (retries_left + 1))
 }
--- a/crates/daemon/src/targets.rs
+++ b/crates/daemon/src/targets.rs
@@ -1,5 +1,5 @@
-//! The targets a proxy may send to: its zone's announced targets, and what
-//! this proxy knows of each from its own calls: slots held, load, health.
+//! Target selection: the announced targets of the proxy's zone, and the calls
+//! in flight, load and health that this proxy observed for each target.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex};
@@ -8,32 +8,39 @@
 use filbert_store::TargetRecord;
 use rand::seq::IndexedRandom;
 
-/// Failures in a row after which a target gets no calls for a while.
-const FAILURES_TO_EJECT: u32 = 3;
-/// Length of a target's first ejection; each further one is twice as long.
-const FIRST_EJECTION: Duration = Duration::from_secs(1);
-/// How long a target that sheds load is passed over. Without the pause each
-/// call would try it first, as it looks idle, and spend a retry on it.
-const SHED_PAUSE: Duration = Duration::from_secs(1);
-/// Longest ejection.
-const LONGEST_EJECTION: Duration = Duration::from_secs(30);
-/// Targets drawn at random for each call, of which the less loaded gets it.
-const TARGETS_COMPARED: usize = 2;
-/// How long a reported load counts; after that it says nothing.
-const LOAD_LIFETIME: Duration = Duration::from_secs(5);
-/// How long a target that just appeared counts as cold.
-const COLD_TIME: Duration = Duration::from_secs(3);
-/// Load a cold target is taken to have on top of its own.
-const COLD_LOAD: u32 = 3;
-
-/// The zone's targets per service, as the proxy reads them.
+/// Consecutive failed calls after which a target is ejected, that is, gets no
+/// calls for a limited time.
+const CONSECUTIVE_FAILURES_TO_EJECT: u32 = 3;
+/// Duration of a target's first ejection; each further failure in a row
+/// doubles the duration.
+const BASE_EJECTION_TIME: Duration = Duration::from_secs(1);
+/// Ejection time of a target that declined a call, for example to shed load.
+/// A target that sheds load looks idle, so without the ejection every call
+/// would try that target first and spend a retry.
+const DECLINED_EJECTION_TIME: Duration = Duration::from_secs(1);
+/// Upper limit of an ejection's duration.
+const MAX_EJECTION_TIME: Duration = Duration::from_secs(30);
+/// Number of targets drawn at random for each call; the least loaded of the
+/// drawn targets gets the call ("power of two choices").
+const RANDOM_CHOICES: usize = 2;
+/// Age up to which a load reported in an answer is used. When the report is
+/// older, the load in the target's record is used instead.
+const LOAD_REPORT_LIFETIME: Duration = Duration::from_secs(5);
+/// Time during which a target counts as cold, from when this proxy first
+/// considers the target for a call.
+const COLD_PERIOD: Duration = Duration::from_secs(3);
+/// Load added to a cold target's own load when targets are compared.
+const COLD_LOAD_PENALTY: u32 = 3;
+
+/// An immutable view of the zone's targets, grouped by service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneTargets {
     by_service: BTreeMap<String, Vec<TargetRecord>>,
 }
 
 impl ZoneTargets {
-    /// Builds the view from records already filtered for expiry.
+    /// Builds the view from `records`, from which the caller has removed
+    /// expired ones.
     #[must_use]
     pub fn from_records<'a>(records: impl IntoIterator<Item = &'a TargetRecord>) -> ZoneTargets {
         let mut by_service: BTreeMap<String, Vec<TargetRecord>> = BTreeMap::new();
@@ -46,7 +53,8 @@
         ZoneTargets { by_service }
     }
 
-    /// The targets of `service` that take new work (not leaving).
+    /// Returns the targets of `service` that accept new calls, that is, the
+    /// targets that are not leaving.
     pub fn serving<'a>(&'a self, service: &str) -> impl Iterator<Item = &'a TargetRecord> + 'a {
         self.by_service
             .get(service)
@@ -55,7 +63,7 @@
             .filter(|record| !record.leaving)
     }
 
-    /// How many targets per service take new work.
+    /// Returns the number of targets that accept new calls, per service.
     #[must_use]
     pub fn counts(&self) -> BTreeMap<String, usize> {
         self.by_service
@@ -65,23 +73,26 @@
     }
 }
 
-/// What a call says about the target it went to.
+/// The outcome of one attempt, as it bears on the target's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TargetSign {
-    /// It answered; its load, when the answer carried one.
-    Well { load: Option<u32> },
-    /// It declined to run the call, as when shedding load.
-    Full,
-    /// It took no connection, broke off, failed or did not answer in time.
-    Ill,
+pub enum TargetOutcome {
+    /// The target answered; `load` is the load reported in the answer, if any.
+    Success { load: Option<u32> },
+    /// The target declined to run the call, for example to shed load.
+    Declined,
+    /// The target refused the connection, closed it before the whole answer
+    /// was read, answered with a server error or did not answer in time.
+    Failure,
 }
 
-/// What this proxy knows of one target.
+/// The state of one target, as this proxy observed it.
 #[derive(Clone, Copy, Debug)]
 struct TargetEntry {
-    held: u32,
+    /// Slots held, that is, this proxy's calls in flight on the target.
+    in_flight: u32,
+    /// The last load reported in an answer, and when the answer arrived.
     load: Option<(u32, Instant)>,
-    failures: u32,
+    consecutive_failures: u32,
     ejected_until: Option<Instant>,
     first_seen: Instant,
 }
@@ -89,9 +100,9 @@
 impl TargetEntry {
     fn new(now: Instant) -> TargetEntry {
         TargetEntry {
-            held: 0,
+            in_flight: 0,
             load: None,
-            failures: 0,
+            consecutive_failures: 0,
             ejected_until: None,
             first_seen: now,
         }
@@ -102,51 +113,54 @@
     }
 
     fn expected_load(&self, record: &TargetRecord, now: Instant) -> u32 {
-        let fresh = self
+        let current = self
             .load
-            .filter(|(_, at)| now.saturating_duration_since(*at) <= LOAD_LIFETIME);
-        let reported = fresh.map_or(record.load, |(load, _)| load);
-        let cold = now.saturating_duration_since(self.first_seen) < COLD_TIME;
-        reported + self.held + if cold { COLD_LOAD } else { 0 }
+            .filter(|(_, at)| now.saturating_duration_since(*at) <= LOAD_REPORT_LIFETIME);
+        let reported = current.map_or(record.load, |(load, _)| load);
+        let cold = now.saturating_duration_since(self.first_seen) < COLD_PERIOD;
+        reported + self.in_flight + if cold { COLD_LOAD_PENALTY } else { 0 }
     }
 
-    fn note(&mut self, sign: TargetSign, now: Instant) {
-        match sign {
-            TargetSign::Well { load } => {
-                self.failures = 0;
+    fn record_outcome(&mut self, outcome: TargetOutcome, now: Instant) {
+        match outcome {
+            TargetOutcome::Success { load } => {
+                self.consecutive_failures = 0;
                 self.ejected_until = None;
                 if let Some(load) = load {
                     self.load = Some((load, now));
                 }
             }
-            TargetSign::Full => self.ejected_until = Some(now + SHED_PAUSE),
-            TargetSign::Ill => {
-                self.failures += 1;
-                let ejections = self.failures.checked_sub(FAILURES_TO_EJECT);
+            TargetOutcome::Declined => self.ejected_until = Some(now + DECLINED_EJECTION_TIME),
+            TargetOutcome::Failure => {
+                self.consecutive_failures += 1;
+                let ejections = self
+                    .consecutive_failures
+                    .checked_sub(CONSECUTIVE_FAILURES_TO_EJECT);
                 if let Some(ejections) = ejections {
-                    let length = FIRST_EJECTION * 2u32.saturating_pow(ejections.min(8));
-                    self.ejected_until = Some(now + length.min(LONGEST_EJECTION));
+                    let ejection_time = BASE_EJECTION_TIME * 2u32.saturating_pow(ejections.min(8));
+                    self.ejected_until = Some(now + ejection_time.min(MAX_EJECTION_TIME));
                 }
             }
         }
     }
 }
 
-/// What this proxy knows of every target, by address.
+/// The observed state of every target, by address.
 #[derive(Debug, Default)]
-pub struct TargetBoard {
+pub struct TargetTable {
     entries: Mutex<HashMap<String, TargetEntry>>,
 }
 
-/// One slot held on a target; released when dropped.
+/// A slot held on a target: one of the calls that this proxy may have in flight
+/// to the target. Dropping the guard releases the slot.
 #[derive(Debug)]
 pub struct SlotGuard {
-    board: Arc<TargetBoard>,
+    table: Arc<TargetTable>,
     address: String,
 }
 
 impl SlotGuard {
-    /// The target's address.
+    /// Returns the address of the target on which the slot is held.
     #[must_use]
     pub fn address(&self) -> &str {
         &self.address
@@ -155,87 +169,92 @@
 
 impl Drop for SlotGuard {
     fn drop(&mut self) {
-        let mut entries = self.board.lock();
+        let mut entries = self.table.lock();
         if let Some(entry) = entries.get_mut(&self.address) {
-            entry.held = entry.held.saturating_sub(1);
+            entry.in_flight = entry.in_flight.saturating_sub(1);
         }
     }
 }
 
-/// A choice of target to make.
+/// The input for choosing a target for one call.
 #[derive(Clone, Copy, Debug)]
-pub struct TargetChoice<'a> {
+pub struct PlacementRequest<'a> {
     /// The zone's targets.
     pub targets: &'a ZoneTargets,
-    /// The service called.
+    /// The service that the call is for.
     pub service: &'a str,
-    /// Calls one target may hold at once from this proxy.
-    pub slots: u32,
-    /// Addresses already tried for the call.
-    pub tried: &'a [String],
+    /// Maximum number of calls in flight from this proxy to one target.
+    pub slots_per_target: u32,
+    /// Addresses of targets that must not be chosen, as the call was already
+    /// sent to them.
+    pub excluded: &'a [String],
 }
 
-impl TargetBoard {
+impl TargetTable {
     fn lock(&self) -> std::sync::MutexGuard<'_, HashMap<String, TargetEntry>> {
-        // Entries stay consistent per operation, so a poisoned lock is still usable.
+        // Every operation leaves the entries consistent, so a poisoned lock is
+        // still usable.
         self.entries
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
-    /// Picks the less loaded of two targets with a free slot, drawn at random,
-    /// and takes the slot.
+    /// Draws two targets with a free slot at random and takes a slot on the
+    /// less loaded of the two. Returns `None` when no target has a free slot.
     ///
-    /// Guards against a target whose health or load report lies (seen as
-    /// calls that fail on it again and again while it looks idle): one that
-    /// failed several calls in a row is passed over for a while, whatever it
-    /// reports. When that would leave none, ejections are ignored, since
-    /// then the fault more likely lies elsewhere.
+    /// A target that failed several calls in a row is ejected for a limited
+    /// time, whatever health or load it reports. Otherwise a target with a
+    /// wrong report would look idle and fail call after call. When every
+    /// target with a free slot is ejected, ejections are ignored, since the
+    /// fault then more likely lies elsewhere.
     ///
-    /// Guards against many proxies sending to the one target that all take
-    /// for the least loaded (seen as one target full and the others idle):
-    /// reports lag, so each proxy draws two and compares only those.
+    /// Only two targets are compared because load reports lag. If every proxy
+    /// compared all targets, all proxies would send to the same least loaded
+    /// target and fill that target while the others stay idle.
     #[must_use]
-    pub fn acquire(
-        board: &Arc<TargetBoard>,
-        choice: TargetChoice<'_>,
+    pub fn acquire_slot(
+        table: &Arc<TargetTable>,
+        request: PlacementRequest<'_>,
         now: Instant,
     ) -> Option<SlotGuard> {
-        let mut entries = board.lock();
-        let mut sound = Vec::new();
+        let mut entries = table.lock();
+        let mut healthy = Vec::new();
         let mut ejected = Vec::new();
-        for record in choice.targets.serving(choice.service) {
+        for record in request.targets.serving(request.service) {
             let entry = entries
                 .entry(record.address.clone())
                 .or_insert_with(|| TargetEntry::new(now));
-            if entry.held >= choice.slots || choice.tried.contains(&record.address) {
+            if entry.in_flight >= request.slots_per_target
+                || request.excluded.contains(&record.address)
+            {
                 continue;
             }
             let load = entry.expected_load(record, now);
             if entry.is_ejected(now) {
                 ejected.push((load, &record.address));
             } else {
-                sound.push((load, &record.address));
+                healthy.push((load, &record.address));
             }
         }
-        let open = if sound.is_empty() { ejected } else { sound };
-        let (_, address) = open
-            .choose_multiple(&mut rand::rng(), TARGETS_COMPARED)
+        let candidates = if healthy.is_empty() { ejected } else { healthy };
+        let (_, address) = candidates
+            .choose_multiple(&mut rand::rng(), RANDOM_CHOICES)
             .min_by_key(|(load, _)| *load)?;
         let address = (*address).clone();
         if let Some(entry) = entries.get_mut(&address) {
-            entry.held += 1;
+            entry.in_flight += 1;
         }
         Some(SlotGuard {
-            board: Arc::clone(board),
+            table: Arc::clone(table),
             address,
         })
     }
 
-    /// Takes note of how a call on the target at `address` went.
-    pub fn note(&self, address: &str, sign: TargetSign, now: Instant) {
+    /// Records the outcome of an attempt on the target at `address`. An
+    /// address without an entry is ignored.
+    pub fn record_outcome(&self, address: &str, outcome: TargetOutcome, now: Instant) {
         if let Some(entry) = self.lock().get_mut(address) {
-            entry.note(sign, now);
+            entry.record_outcome(outcome, now);
         }
     }
 }
--- a/crates/daemon/tests/call_cases.rs
+++ b/crates/daemon/tests/call_cases.rs
@@ -1,5 +1,5 @@
-//! The rules for a call after an attempt, the retry budget, the choice of
-//! target and the frames between daemons, as tables of cases.
+//! Table-driven tests of the step after an attempt, the retry budget, target
+//! selection and the decoding of frames between daemons.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -7,40 +7,42 @@
 use filbert_daemon::limits::RetryBudget;
 use filbert_daemon::messages::{encode_frame, FrameError, FrameReader, PeerMessage, FRAME_LIMIT};
 use filbert_daemon::proxy::policy::{
-    is_repeatable, next_step, second_attempt_after, AttemptEnd, NextStep, RetryAllowance,
+    hedge_delay, is_repeatable, next_step, AttemptEnd, NextStep, RetryAllowance,
+};
+use filbert_daemon::targets::{
+    PlacementRequest, SlotGuard, TargetOutcome, TargetTable, ZoneTargets,
 };
-use filbert_daemon::targets::{SlotGuard, TargetBoard, TargetChoice, TargetSign, ZoneTargets};
 use filbert_store::TargetRecord;
 use filbert_tree::{BranchSettings, RouteSettings};
 use rocket::http::Method;
 use rstest::rstest;
 
-/// An attempt's end, what is allowed after it, and what must follow.
+/// How an attempt ended, what is allowed afterwards, and the expected step.
 struct StepCase {
-    end: AttemptEnd,
+    attempt_end: AttemptEnd,
     repeatable: bool,
     may_have_run: bool,
-    another: bool,
+    can_retry: bool,
     step: NextStep,
 }
 
 #[rstest]
-#[case::answered(StepCase { end: AttemptEnd::Answered, repeatable: false, may_have_run: false, another: true, step: NextStep::PassOn })]
-#[case::declined_goes_on(StepCase { end: AttemptEnd::Declined, repeatable: false, may_have_run: false, another: true, step: NextStep::SendAgain })]
-#[case::declined_at_last(StepCase { end: AttemptEnd::Declined, repeatable: false, may_have_run: false, another: false, step: NextStep::SayNotRun })]
-#[case::declined_after_loss(StepCase { end: AttemptEnd::Declined, repeatable: true, may_have_run: true, another: false, step: NextStep::SayUnknown })]
-#[case::not_connected_goes_on(StepCase { end: AttemptEnd::NotConnected, repeatable: false, may_have_run: false, another: true, step: NextStep::SendAgain })]
-#[case::not_connected_at_last(StepCase { end: AttemptEnd::NotConnected, repeatable: false, may_have_run: false, another: false, step: NextStep::SayNotRun })]
-#[case::lost_order_is_not_sent_again(StepCase { end: AttemptEnd::Lost, repeatable: false, may_have_run: true, another: true, step: NextStep::SayUnknown })]
-#[case::lost_lookup_is_sent_again(StepCase { end: AttemptEnd::Lost, repeatable: true, may_have_run: true, another: true, step: NextStep::SendAgain })]
-#[case::lost_lookup_at_last(StepCase { end: AttemptEnd::Lost, repeatable: true, may_have_run: true, another: false, step: NextStep::SayUnknown })]
-fn attempt_is_followed_by_what_is_safe(#[case] case: StepCase) {
+#[case::answered(StepCase { attempt_end: AttemptEnd::Answered, repeatable: false, may_have_run: false, can_retry: true, step: NextStep::PassOn })]
+#[case::declined_goes_on(StepCase { attempt_end: AttemptEnd::Declined, repeatable: false, may_have_run: false, can_retry: true, step: NextStep::SendAgain })]
+#[case::declined_at_last(StepCase { attempt_end: AttemptEnd::Declined, repeatable: false, may_have_run: false, can_retry: false, step: NextStep::SayNotRun })]
+#[case::declined_after_loss(StepCase { attempt_end: AttemptEnd::Declined, repeatable: true, may_have_run: true, can_retry: false, step: NextStep::SayUnknown })]
+#[case::not_connected_goes_on(StepCase { attempt_end: AttemptEnd::NotConnected, repeatable: false, may_have_run: false, can_retry: true, step: NextStep::SendAgain })]
+#[case::not_connected_at_last(StepCase { attempt_end: AttemptEnd::NotConnected, repeatable: false, may_have_run: false, can_retry: false, step: NextStep::SayNotRun })]
+#[case::lost_order_is_not_sent_again(StepCase { attempt_end: AttemptEnd::Lost, repeatable: false, may_have_run: true, can_retry: true, step: NextStep::SayUnknown })]
+#[case::lost_lookup_is_sent_again(StepCase { attempt_end: AttemptEnd::Lost, repeatable: true, may_have_run: true, can_retry: true, step: NextStep::SendAgain })]
+#[case::lost_lookup_at_last(StepCase { attempt_end: AttemptEnd::Lost, repeatable: true, may_have_run: true, can_retry: false, step: NextStep::SayUnknown })]
+fn next_step_follows_attempt_end_and_allowance(#[case] case: StepCase) {
     let allowance = RetryAllowance {
         repeatable: case.repeatable,
         may_have_run: case.may_have_run,
-        another: case.another,
+        can_retry: case.can_retry,
     };
-    assert_eq!(next_step(case.end, allowance), case.step);
+    assert_eq!(next_step(case.attempt_end, allowance), case.step);
 }
 
 #[rstest]
@@ -62,17 +64,17 @@
 }
 
 #[test]
-fn second_attempt_waits_its_share_of_the_time() {
+fn hedge_delay_is_an_equal_share_of_the_time_left() {
     let left = Duration::from_millis(900);
-    assert_eq!(second_attempt_after(left, 2, true), Some(left / 3));
-    assert_eq!(second_attempt_after(left, 0, true), None);
-    assert_eq!(second_attempt_after(left, 2, false), None);
+    assert_eq!(hedge_delay(left, 2, true), Some(left / 3));
+    assert_eq!(hedge_delay(left, 0, true), None);
+    assert_eq!(hedge_delay(left, 2, false), None);
 }
 
 #[test]
-fn retries_stay_a_fifth_of_the_calls_beyond_the_reserve() {
-    // A service is in trouble and every call fails. Its callers' 1,000 calls
-    // may be sent again 10 + 200 times, not 1,000 times.
+fn retries_are_limited_to_a_fifth_of_the_calls_plus_the_reserve() {
+    // When every call of a service fails, 1,000 calls may cause 10 + 200
+    // retries. Without the budget they would cause 1,000 retries.
     let budget = RetryBudget::default();
     let retries = (0..1_000)
         .filter(|_| {
@@ -83,7 +85,7 @@
     assert!((200..=210).contains(&retries), "{retries} retries");
     assert!(
         budget.try_spend("artwork"),
-        "another service's budget is its own"
+        "each service must have its own budget"
     );
 }
 
@@ -99,36 +101,36 @@
     }
 }
 
-/// A first choice among the quoting targets.
-fn quoting_of(targets: &ZoneTargets, slots: u32) -> TargetChoice<'_> {
-    TargetChoice {
+/// A request for a target of the quoting service by a call's first attempt.
+fn quoting_request(targets: &ZoneTargets, slots_per_target: u32) -> PlacementRequest<'_> {
+    PlacementRequest {
         targets,
         service: "quoting",
-        slots,
-        tried: &[],
+        slots_per_target,
+        excluded: &[],
     }
 }
 
-/// Targets `(address, reported load, leaving)`, signs noted `(address, sign)`,
-/// and the target that must be chosen for the next call.
+/// Targets as `(address, load in the record, leaving)`, recorded outcomes as
+/// `(address, outcome)`, and the expected target of the next call.
 struct ChoiceCase {
     targets: &'static [(&'static str, u32, bool)],
-    signs: &'static [(&'static str, TargetSign)],
+    outcomes: &'static [(&'static str, TargetOutcome)],
     chosen: Option<&'static str>,
 }
 
-const WELL: TargetSign = TargetSign::Well { load: None };
-const BUSY: TargetSign = TargetSign::Well { load: Some(8) };
+const SUCCESS: TargetOutcome = TargetOutcome::Success { load: None };
+const SUCCESS_WITH_LOAD: TargetOutcome = TargetOutcome::Success { load: Some(8) };
 
 #[rstest]
-#[case::least_loaded(ChoiceCase { targets: &[("a", 5, false), ("b", 2, false)], signs: &[], chosen: Some("b") })]
-#[case::leaving_is_passed_over(ChoiceCase { targets: &[("a", 5, false), ("b", 0, true)], signs: &[], chosen: Some("a") })]
-#[case::answers_tell_more_than_reports(ChoiceCase { targets: &[("a", 5, false), ("b", 0, false)], signs: &[("b", BUSY)], chosen: Some("a") })]
-#[case::failing_is_passed_over(ChoiceCase { targets: &[("a", 9, false), ("b", 0, false)], signs: &[("b", TargetSign::Ill), ("b", TargetSign::Ill), ("b", TargetSign::Ill)], chosen: Some("a") })]
-#[case::one_failure_is_not_enough(ChoiceCase { targets: &[("a", 9, false), ("b", 0, false)], signs: &[("b", TargetSign::Ill), ("b", WELL), ("b", TargetSign::Ill)], chosen: Some("b") })]
-#[case::shedding_is_passed_over(ChoiceCase { targets: &[("a", 9, false), ("b", 0, false)], signs: &[("b", TargetSign::Full)], chosen: Some("a") })]
-#[case::all_failing_are_still_tried(ChoiceCase { targets: &[("a", 0, false)], signs: &[("a", TargetSign::Full)], chosen: Some("a") })]
-#[case::none_serving(ChoiceCase { targets: &[("a", 0, true)], signs: &[], chosen: None })]
+#[case::least_loaded(ChoiceCase { targets: &[("a", 5, false), ("b", 2, false)], outcomes: &[], chosen: Some("b") })]
+#[case::leaving_is_passed_over(ChoiceCase { targets: &[("a", 5, false), ("b", 0, true)], outcomes: &[], chosen: Some("a") })]
+#[case::answers_tell_more_than_reports(ChoiceCase { targets: &[("a", 5, false), ("b", 0, false)], outcomes: &[("b", SUCCESS_WITH_LOAD)], chosen: Some("a") })]
+#[case::failing_is_passed_over(ChoiceCase { targets: &[("a", 9, false), ("b", 0, false)], outcomes: &[("b", TargetOutcome::Failure), ("b", TargetOutcome::Failure), ("b", TargetOutcome::Failure)], chosen: Some("a") })]
+#[case::one_failure_is_not_enough(ChoiceCase { targets: &[("a", 9, false), ("b", 0, false)], outcomes: &[("b", TargetOutcome::Failure), ("b", SUCCESS), ("b", TargetOutcome::Failure)], chosen: Some("b") })]
+#[case::shedding_is_passed_over(ChoiceCase { targets: &[("a", 9, false), ("b", 0, false)], outcomes: &[("b", TargetOutcome::Declined)], chosen: Some("a") })]
+#[case::all_failing_are_still_tried(ChoiceCase { targets: &[("a", 0, false)], outcomes: &[("a", TargetOutcome::Declined)], chosen: Some("a") })]
+#[case::none_serving(ChoiceCase { targets: &[("a", 0, true)], outcomes: &[], chosen: None })]
 fn target_choice_follows_load_and_health(#[case] case: ChoiceCase) {
     let records: Vec<TargetRecord> = case
         .targets
@@ -136,29 +138,30 @@
         .map(|(address, load, leaving)| target(address, *load, *leaving))
         .collect();
     let targets = ZoneTargets::from_records(&records);
-    let board = Arc::new(TargetBoard::default());
+    let table = Arc::new(TargetTable::default());
     let now = Instant::now();
-    let choice = quoting_of(&targets, 9);
-    drop(TargetBoard::acquire(&board, choice, now));
-    for (address, sign) in case.signs {
-        board.note(address, *sign, now);
+    let request = quoting_request(&targets, 9);
+    drop(TargetTable::acquire_slot(&table, request, now));
+    for (address, outcome) in case.outcomes {
+        table.record_outcome(address, *outcome, now);
     }
-    let chosen = TargetBoard::acquire(&board, choice, now);
+    let chosen = TargetTable::acquire_slot(&table, request, now);
     assert_eq!(chosen.as_ref().map(SlotGuard::address), case.chosen);
 }
 
 #[test]
-fn target_that_just_appeared_is_spared_for_a_while() {
-    // A cold target joins beside a warm one that runs two calls. It must not
-    // get the next call just because it is idle; a few seconds later it must.
+fn cold_target_is_not_preferred_until_it_is_warm() {
+    // A cold, idle target joins a warm target that runs two calls. The cold
+    // target must not get the next call, although it has the lower load. Four
+    // seconds later the target is warm and must get the call.
     let warm = target("warm", 2, false);
     let cold = target("cold", 0, false);
-    let board = Arc::new(TargetBoard::default());
+    let table = Arc::new(TargetTable::default());
     let start = Instant::now();
     let chosen = |records: &[TargetRecord], now| {
         let targets = ZoneTargets::from_records(records);
-        let choice = quoting_of(&targets, 9);
-        let slot = TargetBoard::acquire(&board, choice, now).expect("a target");
+        let request = quoting_request(&targets, 9);
+        let slot = TargetTable::acquire_slot(&table, request, now).expect("a target");
         slot.address().to_owned()
     };
     let both = [warm.clone(), cold];
@@ -169,41 +172,44 @@
 }
 
 #[test]
-fn idle_targets_share_the_calls() {
-    // Lookups come one at a time to a service with five idle targets. Each
-    // target must get its part; before, the first by address got them all,
-    // from every proxy of the zone.
+fn calls_are_spread_over_idle_targets() {
+    // Calls arrive one at a time at a service with five idle targets, and
+    // every target must get a share. Choosing the first of equally loaded
+    // targets would send all calls from every proxy of the zone to the target
+    // with the lowest address.
     let names = ["a", "b", "c", "d", "e"];
     let records: Vec<TargetRecord> = names.iter().map(|name| target(name, 0, false)).collect();
     let targets = ZoneTargets::from_records(&records);
-    let board = Arc::new(TargetBoard::default());
-    let choice = quoting_of(&targets, 9);
+    let table = Arc::new(TargetTable::default());
+    let request = quoting_request(&targets, 9);
     let mut calls = std::collections::BTreeMap::new();
     for _ in 0..1_000 {
-        let slot = TargetBoard::acquire(&board, choice, Instant::now()).expect("a target");
+        let slot = TargetTable::acquire_slot(&table, request, Instant::now()).expect("a target");
         *calls.entry(slot.address().to_owned()).or_insert(0) += 1;
     }
-    // 200 each on average; 100 is more than seven deviations off.
+    // The mean is 200 calls per target; 100 is more than seven standard
+    // deviations below the mean.
     assert_eq!(calls.len(), names.len(), "{calls:?}");
     assert!(calls.values().all(|count| *count > 100), "{calls:?}");
 }
 
 #[test]
-fn slots_of_a_target_are_a_hard_limit() {
+fn target_never_gets_more_calls_than_its_slots() {
     let records = [target("a", 0, false)];
     let targets = ZoneTargets::from_records(&records);
-    let board = Arc::new(TargetBoard::default());
+    let table = Arc::new(TargetTable::default());
     let now = Instant::now();
-    let choice = quoting_of(&targets, 2);
-    let first = TargetBoard::acquire(&board, choice, now);
-    let second = TargetBoard::acquire(&board, choice, now);
+    let request = quoting_request(&targets, 2);
+    let first = TargetTable::acquire_slot(&table, request, now);
+    let second = TargetTable::acquire_slot(&table, request, now);
     assert!(first.is_some() && second.is_some());
-    assert!(TargetBoard::acquire(&board, choice, now).is_none());
+    assert!(TargetTable::acquire_slot(&table, request, now).is_none());
     drop(first);
-    assert!(TargetBoard::acquire(&board, choice, now).is_some());
+    assert!(TargetTable::acquire_slot(&table, request, now).is_some());
 }
 
-/// Bytes that arrive on a link in pieces, and what the reader makes of them.
+/// Feeds the chunks of bytes received on a link to the frame reader and checks
+/// the number of decoded messages, or the error.
 #[rstest]
 #[case::whole(vec![encode_frame(&PeerMessage::Beat).to_vec()], Ok(1))]
 #[case::byte_by_byte(encode_frame(&PeerMessage::NeedWhole).iter().map(|byte| vec![*byte]).collect(), Ok(1))]
@@ -212,21 +218,21 @@
 #[case::too_long(vec![u32::try_from(FRAME_LIMIT + 1).unwrap_or(u32::MAX).to_be_bytes().to_vec()], Err(FrameError::TooLong))]
 #[case::not_a_message(vec![vec![0, 0, 0, 1, 0xff]], Err(FrameError::Undecodable))]
 #[case::trailing_bytes(vec![vec![0, 0, 0, 2, 5, 5]], Err(FrameError::Undecodable))]
-fn frames_are_taken_whole_or_refused(
-    #[case] pieces: Vec<Vec<u8>>,
+fn frames_are_decoded_whole_or_rejected(
+    #[case] chunks: Vec<Vec<u8>>,
     #[case] expected: Result<usize, FrameError>,
 ) {
     let mut reader = FrameReader::default();
-    let mut taken = Ok(0);
-    for piece in pieces {
-        reader.push(&piece);
-        while let Ok(count) = taken {
+    let mut decoded = Ok(0);
+    for chunk in chunks {
+        reader.push(&chunk);
+        while let Ok(count) = decoded {
             match reader.take::<PeerMessage>() {
-                Ok(Some(_)) => taken = Ok(count + 1),
+                Ok(Some(_)) => decoded = Ok(count + 1),
                 Ok(None) => break,
-                Err(error) => taken = Err(error),
+                Err(error) => decoded = Err(error),
             }
         }
     }
-    assert_eq!(taken, expected);
+    assert_eq!(decoded, expected);
 }
