--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -10,9 +10,9 @@
 
 pub mod admin;
 pub use filbert_policy::clock;
+pub mod budget;
 pub mod control;
 pub mod counters;
-pub mod limits;
 pub mod links;
 pub mod messages;
 pub mod platform_calls;
--- a/crates/daemon/src/proxy/mod.rs
+++ b/crates/daemon/src/proxy/mod.rs
@@ -25,9 +25,9 @@
 use rocket::request::Request;
 use rocket::route::{Handler, Outcome, Route};
 
+use crate::budget::RetryBudget;
 use crate::clock::Clock;
 use crate::counters::DaemonCounters;
-use crate::limits::RetryBudget;
 use crate::targets::{TargetTable, ZoneTargets};
 pub use answer::{ProxyAnswer, RETRY_AFTER_SECONDS};
 use attempt::ForwardedCall;
--- a/crates/daemon/tests/call_cases.rs
+++ b/crates/daemon/tests/call_cases.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use filbert_daemon::limits::RetryBudget;
+use filbert_daemon::budget::RetryBudget;
 use filbert_daemon::messages::{encode_frame, FrameError, FrameReader, PeerMessage, FRAME_LIMIT};
 use filbert_daemon::proxy::policy::{
     hedge_delay, is_repeatable, next_step, AttemptEnd, NextStep, RetryAllowance,
